--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -7,7 +7,7 @@
 import dataclasses
 
 from topazring.core import places
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -107,7 +107,9 @@
     waited for: its start may take seconds.
     """
     names = members(state, attempt)
-    if attempt.old not in names and evidence.began_again(state, attempt.old):
+    if attempt.old not in names and failure_detection.is_recreated(
+        state, attempt.old
+    ):
         names.append(attempt.old)
     return names
 
@@ -173,7 +175,9 @@
     Then writes are confirmed, and what hangs is the answer: one was lost, or
     the replicas only apply late what they receive at once.
     """
-    before = freshness.place_at(state, now_ms - evidence.STANDING_MS)
+    before = freshness.place_at(
+        state, now_ms - failure_detection.REPLICATION_STALLED_MS
+    )
     if before is None:
         return False
     return any(
@@ -211,7 +215,7 @@
     if not answered or silent:
         return ''
     lost = attempt.old
-    if evidence.began_again(state, lost):
+    if failure_detection.is_recreated(state, lost):
         if lost not in answered and is_fresh(attempt, now_ms, lost):
             answered.append(lost)
         lost = ''
@@ -260,7 +264,7 @@
     primaries = frozenset({attempt.old, state.proven, state.last_primary})
     for name in primaries:
         report = attempt.reports.get(name)
-        if report is None or evidence.began_again(state, name):
+        if report is None or failure_detection.is_recreated(state, name):
             continue
         if place >= report.received:
             return True
--- a/topazring/core/synchronous/duty.py
+++ b/topazring/core/synchronous/duty.py
@@ -65,7 +65,7 @@
     wanted = state.holds_duty and state.unfenced and state.promotion is None
     if not wanted or state.fence_token:
         return []
-    if now_ms - proofs.proven_ms(state) > PROOF_MS:
+    if now_ms - proofs.proven_until_ms(state) > PROOF_MS:
         return []
     primary = state.upstreams[state.primary]
     if now_ms - primary.took_sent_ms > PROOF_MS:
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -14,7 +14,7 @@
 from topazring.core.synchronous import pace
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import settling
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 from topazring.core.synchronous import transactions
@@ -81,24 +81,24 @@
         return []
     told = [reply.place for reply in replies if reply.place is not None]
     last = told[-1] if told else None
-    primary.note_place(state, now_ms, upstream, last)
+    primary.note_log_position(state, now_ms, upstream, last)
     if last is not None:
-        confirmations.note_place(upstream, connection.sent_ms, last)
+        confirmations.note_log_position(upstream, connection.sent_ms, last)
     outs: list = []
     for command, reply in zip(connection.commands, replies, strict=False):
         if not isinstance(command, statements.Begin) or command.read_only:
             continue
         if reply.code is Code.READ_ONLY:
-            outs += primary.note_refuted(state, now_ms, upstream)
+            outs += primary.note_not_leading(state, now_ms, upstream)
             proofs.note_refusal(upstream, connection.sent_ms)
         elif reply.code is None:
-            outs += primary.note_leads(
+            outs += primary.note_begin_accepted(
                 state, now_ms, upstream, connection.sent_ms
             )
             if reply.place is not None and upstream.name == state.primary:
                 sample = places.Sample(connection.sent_ms, reply.place)
                 state.pending.append(sample)
-    proofs.settle(state)
+    proofs.apply_proof(state)
     return outs
 
 
@@ -110,7 +110,9 @@
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
-    return settling.release(state, now_ms, connection, message.replies[-1])
+    return reply_effects.release_connection(
+        state, now_ms, connection, message.replies[-1]
+    )
 
 
 @_handles(states.Errand.LOOK)
@@ -121,14 +123,14 @@
     message: messages.Replied,
 ) -> list:
     reply = message.replies[-1]
-    outs = settling.release(state, now_ms, connection, reply)
+    outs = reply_effects.release_connection(state, now_ms, connection, reply)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None or reply.report is None:
         return outs
     outs += primary.note_report(
         state, now_ms, upstream, connection.sent_ms, reply.report
     )
-    proofs.settle(state)
+    proofs.apply_proof(state)
     return outs
 
 
@@ -150,7 +152,9 @@
         connections.make_idle(connection, now_ms)
         outs = dispatch.undo(state, now_ms, connection)
     elif refusal is not None:
-        outs = settling.release(state, now_ms, connection, last)
+        outs = reply_effects.release_connection(
+            state, now_ms, connection, last
+        )
     else:
         return transactions.first_statement(state, now_ms, connection, work)
     if work is None:
@@ -173,7 +177,7 @@
     refusal = exchanges.guard_refused(commands, message.replies)
     if connection.transaction:
         return transactions.ran(state, now_ms, connection, work, last)
-    outs = settling.release(state, now_ms, connection, last)
+    outs = reply_effects.release_connection(state, now_ms, connection, last)
     if work is None:
         state.counters['late_result'] += 1
         return outs
@@ -224,7 +228,7 @@
     at_primary = connection.upstream == state.primary
     where = 'primary' if at_primary else 'replica'
     state.counters[f'read_{request.policy.freshness}_at_{where}'] += 1
-    needs_ms = proofs.needed_ms(commands, request)
+    needs_ms = proofs.required_proof_ms(commands, request)
     return fates.done(state, work, connection, reply, needs_ms)
 
 
@@ -249,7 +253,7 @@
     if reply.code is Code.READ_ONLY:
         outs = []
         if upstream is not None:
-            outs = primary.note_refuted(state, now_ms, upstream)
+            outs = primary.note_not_leading(state, now_ms, upstream)
         return outs + fates.requeue(
             state, now_ms, work, Reason.REPLACED, READ_ONLY_PAUSE_MS
         )
