--- a/topazring/core/synchronous/primary_availability.py
+++ b/topazring/core/synchronous/primary_availability.py
@@ -59,7 +59,7 @@
     """
     if state.isolated_with:
         return outcomes.NotRun(Reason.NO_PRIMARY, OTHER_PROXY_RETRY_MS)
-    if connections.is_shut_out(state, state.primary):
+    if connections.is_excluded_by_limit(state, state.primary):
         return outcomes.NotRun(Reason.CONNECTION_LIMIT, OTHER_PROXY_RETRY_MS)
     since_ms = lost_since(state, now_ms)
     if since_ms is None:
--- a/topazring/core/synchronous/promotion_commands.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -20,17 +20,21 @@
 ) -> list:
     """Have members pause, or tell where their logs stand."""
     outs: list = []
-    for name in attempts.candidates(state, attempt):
+    for name in attempts.members_to_query(state, attempt):
         asked_ms = attempt.asked_ms.get(name)
         again_ms = (
-            STATUS_INTERVAL_MS if name == attempt.heir else COMMAND_RETRY_MS
+            STATUS_INTERVAL_MS
+            if name == attempt.successor
+            else COMMAND_RETRY_MS
         )
-        if name != attempt.heir and attempts.is_fresh(attempt, now_ms, name):
+        if name != attempt.successor and attempts.has_fresh_report(
+            attempt, now_ms, name
+        ):
             continue
         if asked_ms is not None and now_ms - asked_ms < again_ms:
             continue
         command: statements.Command = statements.Pause(attempt.term)
-        if name == attempt.heir or attempt.looking:
+        if name == attempt.successor or attempt.is_query_only:
             command = statements.Status()
         elif _is_to_demote(state, attempt, name):
             command = statements.Demote(attempt.term)
@@ -66,7 +70,7 @@
     if free:
         errand = states.Errand.CONTROL
         return [connections.send(free[0], now_ms, errand, (command,))]
-    return connections.dial_extra(state, now_ms, upstream)
+    return connections.dial_beyond_share(state, now_ms, upstream)
 
 
 def resume_paused(state: states.GroupState, now_ms: int) -> list:
