--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -1,30 +1,33 @@
 """Decide when a confirmed write may be acknowledged.
 
-A primary answers a write once one replica has received it, and does not say
-which. It may be one that has just started and that nobody has listed yet. The
-write outlives the primary if whoever promotes hears of it: from a member that
-is listed for long enough to be known to all, and so is paused and asked before
-anyone is chosen.
-
-That members can be reached, or were not paused when the write went out, does
-not tell: a write that is under way as they are paused, or while they receive
-nothing, is confirmed by the one that was not asked. So a confirmed write is
-answered
-
-- once a member that vouches says that its own log holds the write. All are
-  asked the moment it is confirmed, which takes no slot, and mostly hold it by
-  then;
-- or once a member that has been listed for a moment says so, and one that
-  vouches says, asked after that, that it is not paused. So no promotion has
-  begun, and whoever begins one now has heard of the holder.
-
-Neither counts while a member says that it is paused for a later term: then
-somebody is replacing the primary, and may have chosen already. While a leaving
-primary hands over the others are paused by design, and all that are not have
-to hold the write: its heir is among them. Whoever ordered a successor itself
-knows which one has to. Nothing counts while another is named as the primary,
-or was named and is gone: the one that is believed to lead goes on until it
-learns of that.
+A primary confirms a write once one replica has received it, and does not
+report which one. It may be a replica that has just started and is not listed
+yet. The write is durable, that is, survives the loss of its primary, if the
+promoting proxy learns of it. It does if the write is in the log of a member
+that has been listed for so long that all proxies have seen it: such a member
+is paused and queried before a successor is chosen.
+
+That members are reachable, or were not paused when the write was sent, proves
+nothing. A write in flight while they are paused, or while they receive
+nothing, is confirmed by the replica that was not queried. A confirmed write is
+therefore acknowledged in one of two cases:
+
+- An established member reports that its own log contains the write. All
+  members are queried as soon as the write is confirmed, which takes no slot,
+  and mostly have received it by then.
+- A member that has been listed for LISTING_DELAY_MS reports that its log
+  contains the write, and an established member that is queried later reports
+  that it is not paused. Then no promotion has begun, and a proxy that begins
+  one from now on has seen the holder in the list.
+
+Neither counts while a member reports that it is paused for a later term: the
+primary is being replaced, and the successor may have been chosen already.
+While a leaving primary hands over, the other members are paused by design, and
+all members that are not paused must have the write, since the successor is one
+of them. The proxy that ordered a successor checks that member alone. Nothing
+counts while another member is named as the primary, or was named and has left
+the list: the current primary keeps accepting writes until it learns that it
+was replaced.
 """
 
 from topazring.core import places
@@ -36,45 +39,46 @@
 
 __all__ = [
     'are_replicas_unreachable',
-    'is_in_successor_log',
-    'is_durable',
     'is_acknowledgement_stalled',
-    'note_successor_gone',
+    'is_durable',
+    'is_in_successor_log',
     'note_log_position',
     'note_report',
+    'note_successor_gone',
     'pending_confirmations',
     'witnesses',
 ]
 
 # The term of a group whose primary was never replaced.
 FIRST_TERM = 1
-# Proxies hear of a new member within milliseconds of each other.
+# Proxies see a new member in the list within milliseconds of each other.
 LISTING_DELAY_MS = 300
-# A hand-over takes no longer: a successor that was silent before it began
-# would not have been chosen.
+# Upper bound of a hand-over: a successor that was silent before the hand-over
+# began would not have been chosen.
 HAND_OVER_MS = 3000
-# Whoever holds the duty has heard as well that a successor is gone, and has
-# promoted another by then. If it has not, it knows better, or never will.
+# How long writes of an ended term are not acknowledged. By then the holder of
+# the promotion lease has also seen that the successor left the list, and has
+# promoted another; if it has not, it has newer information or never will.
 ENDED_TERM_MS = 5000
-# A confirmed write that waits for so long to be acknowledged shows that the
-# next would wait as well. Members answer within a few ms, and receive within
-# some ten at most.
+# If a confirmed write has waited for this long to be acknowledged, the next
+# write would wait as well. Members reply within a few ms, and receive entries
+# within some 10 ms at most.
 STALLED_AFTER_MS = 150
-# After one was given up the next is tried only then: each is unknown to its
-# caller, and one that is refused may be tried at another proxy.
+# How long writes are refused after one was given up: the outcome of a write
+# that is given up is unknown to its caller, while one that is refused may be
+# retried at another proxy.
 STALL_RETRY_MS = 500
 
 
 def witnesses(state: states.GroupState) -> list[states.Upstream]:
-    """Return the members whose word counts.
+    """Return the members whose reports count for durability.
 
-    Where none of the others has been there for long enough, all of them are
-    asked.
+    These are the established members, or all others if none is established.
     """
-    return _vouching(state) or states.others(state)
+    return _established(state) or states.others(state)
 
 
-def _vouching(state: states.GroupState) -> list[states.Upstream]:
+def _established(state: states.GroupState) -> list[states.Upstream]:
     return [u for u in states.others(state) if u.vouches]
 
 
@@ -83,34 +87,34 @@
     now_ms: int,
     confirmation: known_places.Confirmation,
 ) -> bool:
-    """Say whether a confirmed write survives the loss of its primary."""
+    """Return whether a confirmed write survives the loss of its primary."""
     listed = state.primary in state.upstreams
     if not listed or confirmation.upstream != state.primary:
         return False
     if _is_contested(state) or _is_outdated(state, confirmation):
         return False
     if not states.others(state):
-        # Nobody is listed who could be promoted.
+        # No other member is listed that could be promoted.
         return True
     chosen = _ordered_successor(state)
     if chosen is not None:
         return _holds(chosen, confirmation)
     if state.upstreams[state.primary].leaving:
-        return _heir_holds(state, now_ms, confirmation)
+        return _successor_holds(state, now_ms, confirmation)
     if _is_any_paused(state, confirmation):
         return False
-    if any(_holds(u, confirmation) for u in _vouching(state)):
+    if any(_holds(u, confirmation) for u in _established(state)):
         return True
-    return _is_known_to_hold(state, confirmation)
+    return _is_holder_listed(state, confirmation)
 
 
 def is_in_successor_log(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> bool | None:
-    """Say whether the heir of a write's primary began with the write.
+    """Return whether the successor of a write's primary began with the write.
 
-    None while that may still be learned: until its first entry an heir's log
-    ends where it began, in the term before.
+    None while this can still be found out: until its first entry, the log of
+    a successor ends where it began, in the previous term.
     """
     before = state.upstreams.get(confirmation.upstream)
     if before is None or not before.leaving:
@@ -120,14 +124,14 @@
         return None
     if _holds(successor, confirmation):
         return True
-    asked = successor.log_end_sent_ms >= confirmation.sent_ms
-    return False if asked else None
+    was_queried = successor.log_end_sent_ms >= confirmation.sent_ms
+    return False if was_queried else None
 
 
 def _is_outdated(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> bool:
-    """Say whether the term of the write is known to be over."""
+    """Return whether the term of a write is known to have ended."""
     place = confirmation.place
     if place is not None and place.log_term < state.term:
         return True
@@ -137,9 +141,10 @@
 
 
 def _is_contested(state: states.GroupState) -> bool:
-    """Say whether another is named as the primary and was not asked yet.
+    """Return whether another member is named as the primary, not refuted yet.
 
-    A replica that cannot reach it follows the old one, and confirms.
+    A replica that cannot reach it still follows the old primary and confirms
+    its writes.
     """
     return any(
         proofs.contests_leadership(state, upstream)
@@ -148,24 +153,26 @@
 
 
 def _ordered_successor(state: states.GroupState) -> states.Upstream | None:
-    """Return the member that this proxy has ordered to lead, until it does."""
+    """Return the member that this proxy has ordered, until it leads."""
     attempt = state.promotion
     if attempt is None or attempt.chosen in ('', state.primary):
         return None
     return state.upstreams.get(attempt.chosen)
 
 
-def _heir_holds(
+def _successor_holds(
     state: states.GroupState,
     now_ms: int,
     confirmation: known_places.Confirmation,
 ) -> bool:
-    """Say whether the successor of a leaving primary holds a write.
-
-    Which member that is only the promoter knows; it is not paused. One that
-    restarted is not either, and the successor is not held to its log. One
-    that is silent may be cut off from here alone. If only new ones are left,
-    all others may have been paused because the primary was lost.
+    """Return whether the successor of a leaving primary has a write.
+
+    Only the promoting proxy has a record of which member that is; the
+    successor is not paused, so all members that are not paused must have the
+    write. A member that restarted is not paused either, and the successor
+    need not match its log. A silent member may be unreachable from this proxy
+    alone. If only new members are not paused, all others may have been paused
+    because the primary was lost.
     """
     if confirmation.place is None:
         return False
@@ -178,31 +185,32 @@
             state, now_ms, upstream, HAND_OVER_MS
         )
     ]
-    is_any_known = any(
-        upstream.vouches or _is_known(upstream, confirmation)
+    has_long_listed = any(
+        upstream.vouches or _is_listed_everywhere(upstream, confirmation)
         for upstream in unpaused
     )
-    return is_any_known and all(_holds(u, confirmation) for u in unpaused)
+    return has_long_listed and all(_holds(u, confirmation) for u in unpaused)
 
 
-def _is_known(
+def _is_listed_everywhere(
     upstream: states.Upstream, confirmation: known_places.Confirmation
 ) -> bool:
-    """Say whether a member was listed long before a write was sent."""
+    """Return whether all proxies saw a member before a write was sent."""
     return confirmation.sent_ms - upstream.come_ms >= LISTING_DELAY_MS
 
 
-def _is_known_to_hold(
+def _is_holder_listed(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> bool:
-    """Say whether a promotion that begins now hears of a new member's log.
+    """Return whether a promotion that begins now would query a holder.
 
-    One that began again may have been paused and chosen from before that.
+    A recreated member does not count: it may have been paused, and a
+    successor chosen from its report, before it was recreated.
     """
     holders = [
         upstream
         for upstream in states.others(state)
-        if _is_known(upstream, confirmation)
+        if _is_listed_everywhere(upstream, confirmation)
         and not upstream.began_again
         and _holds(upstream, confirmation)
     ]
@@ -215,10 +223,10 @@
 def _is_any_paused(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> bool:
-    """Say whether a member was paused for a promotion when last asked.
+    """Return whether a member was paused for a promotion when last queried.
 
-    One that was not reached when its promotion ended is left paused for a
-    term that has begun.
+    A member that was unreachable when its promotion ended remains paused for
+    a term that has begun, and does not count.
     """
     if confirmation.place is None:
         return False
@@ -232,9 +240,9 @@
 def _holds(
     upstream: states.Upstream, confirmation: known_places.Confirmation
 ) -> bool:
-    """Say whether a member's log holds a write.
+    """Return whether a member's log contains a write.
 
-    A place of another term says nothing: its log may go another way.
+    A log end of another term proves nothing, as that log may have diverged.
     """
     end, place = upstream.log_end, confirmation.place
     if place is None or upstream.log_end_sent_ms < confirmation.sent_ms:
@@ -243,17 +251,22 @@
 
 
 def are_replicas_unreachable(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether no member that vouches can be reached from here."""
-    vouching = _vouching(state)
-    return bool(vouching) and all(
-        proofs.is_unreachable(state, now_ms, upstream) for upstream in vouching
+    """Return whether all established members are unreachable.
+
+    False if no member is established.
+    """
+    established = _established(state)
+    return bool(established) and all(
+        proofs.is_unreachable(state, now_ms, upstream)
+        for upstream in established
     )
 
 
 def is_acknowledgement_stalled(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether a write would be confirmed, but not acknowledged.
+    """Return whether a write would be confirmed, but not acknowledged.
 
-    One has waited long for that, or was given up a moment ago.
+    That is so if another write has waited for STALLED_AFTER_MS, or was given
+    up within STALL_RETRY_MS.
     """
     if now_ms - state.unsure_ms < STALL_RETRY_MS:
         return True
@@ -268,16 +281,16 @@
     state: states.GroupState,
 ) -> list[known_places.Confirmation]:
     """Return the confirmations whose writes wait to be acknowledged."""
-    held = (state.work.get(key) for key in state.held)
+    waiting = (state.work.get(key) for key in state.held)
     return [
         work.confirmation
-        for work in held
+        for work in waiting
         if work is not None and work.confirmation is not None
     ]
 
 
 def note_successor_gone(state: states.GroupState, now_ms: int) -> None:
-    """Take in that one is gone that was to follow the last primary."""
+    """Record that the successor of the last primary has left the list."""
     state.successor_gone = True
     state.over_term = max(state.term, FIRST_TERM)
     state.over_ms = now_ms
@@ -286,9 +299,10 @@
 def note_log_position(
     upstream: states.Upstream, sent_ms: int, place: places.Place
 ) -> None:
-    """Take in what a member has applied, asked at a time.
+    """Record the log position that a member had applied when asked.
 
-    It holds that at least, and may have received more of the same term.
+    Its log reaches that position at least, and may have received more entries
+    of the same term.
     """
     if sent_ms < upstream.log_end_sent_ms:
         return
@@ -304,7 +318,7 @@
     sent_ms: int,
     report: statements.StatusReport,
 ) -> None:
-    """Take in a member's own word on its log, and whether it is paused."""
+    """Record a member's status report on its log and on its pause."""
     if sent_ms < upstream.reported_sent_ms:
         return
     upstream.reported_sent_ms = sent_ms
--- a/topazring/core/synchronous/failure_detection.py
+++ b/topazring/core/synchronous/failure_detection.py
@@ -1,10 +1,10 @@
-"""Weigh the evidence that a primary is lost.
+"""Detect the loss of a primary.
 
-Silence on one connection condemns that connection. Full slots are not
-silence either: a guard takes no slot, so an upstream that lives answers it
-whatever its load. What condemns a primary is that neither its connections
-nor a new dial are answered, or that it answers and cannot get a write
-confirmed, which is how one looks that is cut off from its replicas.
+Silence on one connection is a failure of that connection only. Full slots do
+not cause silence either: a leadership check takes no slot, so a live upstream
+answers it under any load. A primary counts as lost if neither its connections
+nor a new dial are answered, or if it answers and cannot get a write confirmed,
+which is the symptom of a primary that is cut off from its replicas.
 """
 
 import dataclasses
@@ -15,55 +15,56 @@
 
 __all__ = [
     'Loss',
+    'detect_loss',
+    'detect_silence',
     'is_recreated',
-    'writes_hanging_since',
     'is_unanswered',
-    'detect_loss',
     'needs_dial',
-    'detect_silence',
     'unanswered_since',
     'waits_for_replica',
+    'writes_hanging_since',
 ]
 
-# Guards go out every 100 ms while a loss would be noticed here, and are
-# answered within a few. Three missed in a row are no accident.
+# The holder of the promotion lease sends leadership checks every 100 ms, and
+# they are answered within a few ms. Three missed in a row indicate a failure.
 SILENT_MS = 300
-# A silent connection is checked by a new dial after that long; a dial takes
-# 12 to 27 ms.
+# A new dial checks a silent connection after this long; a dial takes 12 to
+# 27 ms.
 DIAL_AFTER_MS = 120
-# A dial that is unanswered for so long counts as silence.
+# A dial that is unanswered for this long counts as silence.
 DIAL_SILENT_MS = 150
-# A write takes some ten ms, and some hundred behind a full queue of the
-# upstream. One that hangs longer is not confirmed by any replica.
+# A write takes some 10 ms, and some 100 ms behind a full queue of the
+# upstream. One that hangs for longer is not confirmed by any replica.
 HANGING_MS = 600
-# Replicas receive within milliseconds. One that lacks what the primary held so
-# long ago does not follow, or applies late.
+# Replicas receive entries within milliseconds. One that lacks an entry that
+# the primary had this long ago does not follow it, or applies late.
 REPLICATION_STALLED_MS = 500
-# While they apply late they are asked no more often what they received.
+# Minimum interval between queries of what replicas have received, while they
+# apply late.
 STALL_RECHECK_MS = 1000
-# A promotion that is under way shows within its own time, which is at most a
-# second; a group without a primary for longer needs another.
+# A running promotion shows a result within a second at most; a group without a
+# primary for longer than this needs another promotion.
 NO_PRIMARY_MS = 1500
-# After a pause of this process, silence counts again once answers that were
-# under way had time to be read.
+# After a pause of this process, silence counts only once the replies that were
+# in flight could be read.
 RESUME_GRACE_MS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """Report why a primary counts as lost."""
+    """Describe why a primary counts as lost."""
 
     upstream: str
     why: str
     since_ms: int
-    # It answers, but its replicas do not confirm its writes.
+    # The primary answers, but its replicas do not confirm its writes.
     unconfirmed: bool = False
-    # It answers, and was replaced all the same.
+    # The primary answers, but was replaced.
     replaced: bool = False
 
 
 def is_recreated(state: states.GroupState, name: str) -> bool:
-    """Say whether another bears the name of the last primary now."""
+    """Return whether the last primary was recreated under the same name."""
     upstream = state.upstreams.get(name)
     if upstream is None or name != state.last_primary:
         return False
@@ -71,14 +72,14 @@
 
 
 def detect_loss(state: states.GroupState, now_ms: int) -> Loss | None:
-    """Return the loss of the primary, None while it may be alive."""
+    """Return the loss of the primary, or None while it may be alive."""
     if now_ms - state.woke_ms < RESUME_GRACE_MS and state.woke_ms:
         return None
     last = state.last_primary
     if state.primary in ('', last) and is_recreated(state, last):
         return Loss(last, 'it began again', now_ms)
     if not state.primary and not state.successor_gone:
-        return _absent(state, now_ms)
+        return _no_primary(state, now_ms)
     name = state.primary or state.last_primary
     upstream = state.upstreams.get(name)
     if upstream is None:
@@ -89,14 +90,14 @@
     if state.successor_gone:
         why = 'its successor is gone'
         return Loss(upstream.name, why, now_ms, replaced=True)
-    hanging = _hanging(state, now_ms, upstream)
+    hanging = _hanging_writes(state, now_ms, upstream)
     if hanging is not None:
         return hanging
-    return _standing(state, now_ms, upstream)
+    return _stalled_replication(state, now_ms, upstream)
 
 
-def _absent(state: states.GroupState, now_ms: int) -> Loss | None:
-    """Return a loss if nobody leads: a promotion was broken off."""
+def _no_primary(state: states.GroupState, now_ms: int) -> Loss | None:
+    """Return a loss if a promotion was abandoned and left no primary."""
     since_ms = state.primary_lost_ms
     if since_ms is None or now_ms - since_ms < NO_PRIMARY_MS:
         return None
@@ -106,7 +107,7 @@
 def detect_silence(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> Loss | None:
-    """Return a loss if nothing gets an answer, a new dial neither."""
+    """Return a loss if neither its connections nor a new dial are answered."""
     since_ms = unanswered_since(state, upstream)
     if since_ms is None or now_ms - since_ms < SILENT_MS:
         return None
@@ -123,16 +124,19 @@
 def unanswered_since(
     state: states.GroupState, upstream: states.Upstream
 ) -> int | None:
-    """Return since when everything sent to an upstream is unanswered."""
-    asked = [
+    """Return the time since which an upstream has answered nothing.
+
+    None if no command to it awaits a reply.
+    """
+    sent_ms = [
         connection.sent_ms
         for connection in states.connections_to(state, upstream.name)
         if connection.phase is not states.Phase.IDLE
         and connection.sent_ms > upstream.heard_ms
     ]
     if upstream.unheard_since_ms is not None:
-        asked.append(upstream.unheard_since_ms)
-    return min(asked, default=None)
+        sent_ms.append(upstream.unheard_since_ms)
+    return min(sent_ms, default=None)
 
 
 def is_unanswered(
@@ -141,7 +145,7 @@
     upstream: states.Upstream,
     for_ms: int,
 ) -> bool:
-    """Say whether an upstream has answered nothing for so long."""
+    """Return whether an upstream has answered nothing for `for_ms`."""
     since_ms = unanswered_since(state, upstream)
     return since_ms is not None and now_ms - since_ms >= for_ms
 
@@ -149,14 +153,14 @@
 def needs_dial(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether silence is to be checked by a new connection."""
+    """Return whether a new connection is needed to check for silence."""
     return is_unanswered(state, now_ms, upstream, DIAL_AFTER_MS)
 
 
-def _hanging(
+def _hanging_writes(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> Loss | None:
-    """Return a loss if writes hang while everything else is answered."""
+    """Return a loss if writes hang while other commands are answered."""
     since_ms = writes_hanging_since(state, upstream.name)
     if since_ms is None or now_ms - since_ms < HANGING_MS:
         return None
@@ -164,35 +168,36 @@
 
 
 def writes_hanging_since(state: states.GroupState, name: str) -> int | None:
-    """Return since when no write of an upstream has been confirmed.
+    """Return the time since which an upstream has had no write confirmed.
 
-    None if none waits. If others were confirmed meanwhile, the answer alone
-    is lost.
+    None if no write waits for a confirmation. If later writes were confirmed
+    meanwhile, only the reply was lost.
     """
-    waiting = [
+    waiting_ms = [
         connection.sent_ms
         for connection in states.connections_to(state, name)
         if waits_for_replica(connection)
     ]
     upstream = state.upstreams.get(name)
-    if upstream is None or not waiting:
+    if upstream is None or not waiting_ms:
         return None
-    since_ms = min(waiting)
+    since_ms = min(waiting_ms)
     return None if upstream.confirmed_ms > since_ms else since_ms
 
 
-def _standing(
+def _stalled_replication(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> Loss | None:
-    """Return a loss if no replica is known to have followed the primary.
+    """Return a loss if no replica appears to follow the primary.
 
-    Places are those that replicas have applied, so that also looks like
-    this when they apply late. Whoever takes it up looks first.
+    The log positions compared are those that replicas have applied, so
+    replicas that apply late cause the same symptom. A promotion therefore
+    first queries what they have received.
     """
     if now_ms - state.looked_ms < STALL_RECHECK_MS:
         return None
     if unanswered_since(state, upstream) is not None:
-        # Whether it answers at all is to be seen first.
+        # It must first be determined whether the primary answers at all.
         return None
     before = freshness.position_at(state, now_ms - REPLICATION_STALLED_MS)
     if before is None:
@@ -209,7 +214,7 @@
 
 
 def waits_for_replica(connection: states.Connection) -> bool:
-    """Say whether a write or a COMMIT is under way on a connection."""
+    """Return whether a write or a COMMIT is in flight on a connection."""
     if connection.errand is not states.Errand.STATEMENT:
         return False
     last = connection.commands[-1]
--- a/topazring/core/synchronous/isolation.py
+++ b/topazring/core/synchronous/isolation.py
@@ -1,18 +1,19 @@
-"""Notice that this proxy is cut off together with the primary.
+"""Detect that this proxy is partitioned together with the primary.
 
-Behind a partition a primary goes on answering, and nothing that it takes is
-confirmed. On the other side another is promoted meanwhile. A replica that
-joins the old one in this moment would confirm its writes, and they would be
-acknowledged to callers here and be gone with the old primary. One notices by
-acknowledged writes of this side that the next primary lacks.
+On the minority side of a partition a primary keeps answering, but none of its
+writes is confirmed, while another upstream is promoted on the other side. A
+replica that joins the old primary at this time would confirm its writes. They
+would be acknowledged to callers and then lost with the old primary: the next
+primary would lack acknowledged writes.
 
-So writes that hang while no replica can be reached from here are given up as
-unknown before a promotion can be over, and new ones are refused before they
-run: their callers reach the other side through another proxy. Silent replicas
-alone say nothing: it may be this proxy alone that is cut off from them. But
-then nothing tells whether a confirmation is sound, so one write that waits for
-that is enough. And a replica that has just come and is reached on this side is
-the one that would confirm them, and it speaks for nobody.
+Therefore, writes that hang while no replica is reachable are given up as
+unknown before a promotion can complete, and new writes are refused before they
+run, since their callers reach the other side through another proxy. Silent
+replicas alone prove nothing, as only this proxy may be cut off from them. In
+that case it cannot be determined whether a confirmed write is durable, so a
+single write that waits for this is enough. A new replica that is reachable on
+this side could confirm these writes, and as it is not established it is no
+evidence against the isolation.
 """
 
 from topazring.core.synchronous import confirmations
@@ -22,16 +23,16 @@
 
 __all__ = ['HANGING_MS', 'is_probing', 'update']
 
-# A write is confirmed within some ten ms. Noticing a loss takes another
-# proxy 300 ms and a promotion 300 more at least.
+# A write is confirmed within some 10 ms. Another proxy takes 300 ms to detect
+# a loss, and a promotion takes 300 ms more at least.
 HANGING_MS = 300
-# From then on replicas are asked whether they can be reached.
+# Once a write has hung for this long, replicas are probed for reachability.
 PROBE_AFTER_MS = 120
 
 
 def update(state: states.GroupState, now_ms: int) -> list:
-    """Take in whether this proxy is cut off with the primary."""
-    if state.isolated_with and not _holds(state, now_ms):
+    """Update whether this proxy is isolated with the primary."""
+    if state.isolated_with and not _persists(state, now_ms):
         decided = messages.Decided(
             'isolation ended', inputs={'primary': state.primary}
         )
@@ -47,7 +48,7 @@
 
 
 def is_probing(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether replicas have to be asked whether they can be reached."""
+    """Return whether replicas have to be probed for reachability."""
     if state.isolated_with:
         return True
     since_ms = failure_detection.writes_hanging_since(state, state.primary)
@@ -67,10 +68,11 @@
     return any(not replica.vouches for replica in states.others(state))
 
 
-def _holds(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether nothing has been heard since that speaks against it.
+def _persists(state: states.GroupState, now_ms: int) -> bool:
+    """Return whether no evidence against the isolation was received since.
 
-    That writes are confirmed does not: by whom is not told.
+    Confirmed writes are no such evidence, since the primary does not report
+    which replica confirmed them.
     """
     if state.primary != state.isolated_with:
         return False
--- a/topazring/core/synchronous/member_queries.py
+++ b/topazring/core/synchronous/member_queries.py
@@ -1,7 +1,8 @@
-"""Ask the members of a group what answers wait for.
+"""Send the queries to a group's members that pending results wait for.
 
-That the primary leads is asked for all reads that wait for a proof together,
-and who holds a write for all writes that wait to be acknowledged.
+One round of leadership checks serves all reads that wait for a leadership
+proof, and one round of status queries serves all writes that wait to be
+acknowledged.
 """
 
 from topazring.core.synchronous import confirmations
@@ -16,31 +17,31 @@
 __all__ = [
     'SILENT_MS',
     'WITNESS_SAMPLE_INTERVAL_MS',
-    'send_queries',
     'send_leadership_check',
+    'send_queries',
 ]
 
-# A member that has left a question unanswered for so long is not waited for:
-# the others are asked for their terms. Answers take a few ms, and some ten
-# behind a statement on the same connection.
+# If a member has left a query unanswered for this long, the other members are
+# queried for their terms instead. Replies take a few ms, and some 10 ms behind
+# a statement on the same connection.
 SILENT_MS = 60
-# Nobody is asked for its term more often: each question takes a slot.
+# Minimum interval between term queries to a member; each query takes a slot.
 WITNESS_INTERVAL_MS = 40
-# Without a read that waits it is asked only for a sample, once the newest is
-# so old, and then no more often than that. Staleness bounds in use begin at
-# 1,500 ms.
+# While no read waits, terms are queried only to obtain a sample, once the
+# newest sample has this age, and at this interval. Staleness bounds in use
+# begin at 1,500 ms.
 WITNESS_SAMPLE_AGE_MS = 700
 WITNESS_SAMPLE_INTERVAL_MS = 200
-# Who holds a write is asked again after that long. Replicas receive within a
-# few ms of each other.
+# Interval between queries for which members have a write. Replicas receive it
+# within a few ms of each other.
 HOLDER_INTERVAL_MS = 20
 
 
 def send_queries(state: states.GroupState, now_ms: int) -> list[messages.Send]:
-    """Send the questions whose answers are wanted, where one is not open."""
+    """Send the needed queries, except where one is already in flight."""
     if not state.primary:
         return []
-    outs = _ask_holders(state, now_ms)
+    outs = _query_holders(state, now_ms)
     if proofs.proven_until_ms(state) >= state.wanted_ms:
         return outs
     others = states.others(state)
@@ -48,13 +49,13 @@
         if upstream.asked_ms >= state.wanted_ms:
             continue
         outs += send_leadership_check(state, now_ms, upstream)
-    return outs + _ask_witnesses(state, now_ms, others)
+    return outs + _query_witnesses(state, now_ms, others)
 
 
-def _ask_report(
+def _query_report(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list[messages.Send]:
-    """Ask a member for its word, if a connection to it is free."""
+    """Query a member's status report, if a connection to it is free."""
     free = states.idle_connections(state, upstream.name)
     if not free:
         return []
@@ -66,7 +67,7 @@
 def send_leadership_check(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list[messages.Send]:
-    """Ask an upstream whether it leads, if a connection to it is free."""
+    """Send an upstream a leadership check, if a connection to it is free."""
     free = states.idle_connections(state, upstream.name)
     if not free:
         return []
@@ -77,35 +78,41 @@
     ]
 
 
-def _ask_holders(state: states.GroupState, now_ms: int) -> list[messages.Send]:
-    """Ask who holds the writes that wait to be acknowledged."""
+def _query_holders(
+    state: states.GroupState, now_ms: int
+) -> list[messages.Send]:
+    """Query which members have the writes that wait to be acknowledged."""
     waiting = confirmations.pending_confirmations(state)
     if not waiting:
         return []
     newest_ms = max(confirmation.confirmed_ms for confirmation in waiting)
-    asked = states.others(state)
+    queried = states.others(state)
     if any(c.upstream != state.primary for c in waiting):
-        # Whoever leads now may have begun with the write.
-        asked.append(state.upstreams[state.primary])
+        # The present primary may have begun with the write.
+        queried.append(state.upstreams[state.primary])
     outs = []
-    for upstream in asked:
-        is_asked = upstream.report_asked_ms >= newest_ms
-        if is_asked and now_ms - upstream.report_asked_ms < HOLDER_INTERVAL_MS:
+    for upstream in queried:
+        is_queried = upstream.report_asked_ms >= newest_ms
+        if (
+            is_queried
+            and now_ms - upstream.report_asked_ms < HOLDER_INTERVAL_MS
+        ):
             continue
         if not proofs.is_unreachable(state, now_ms, upstream):
-            outs += _ask_report(state, now_ms, upstream)
+            outs += _query_report(state, now_ms, upstream)
     return outs
 
 
-def _is_silent(
+def _is_delayed_by_silence(
     state: states.GroupState, now_ms: int, late: list[states.Upstream]
 ) -> bool:
-    """Say whether a member is silent that somebody waits for."""
+    """Return whether a silent member delays a read or a sample."""
     if not late or state.doubted_ms is None:
         return False
-    waited_for = state.held or _needs_sample(state, now_ms)
-    # In doubt reads are refused, so none waits that would have it asked.
-    if not waited_for and not proofs.is_leadership_unproven(state, now_ms):
+    is_awaited = state.held or _needs_sample(state, now_ms)
+    # While the leadership is unproven reads are refused, so no waiting read
+    # would cause the term queries that can end that state.
+    if not is_awaited and not proofs.is_leadership_unproven(state, now_ms):
         return False
     if now_ms - state.doubted_ms >= SILENT_MS:
         return True
@@ -119,21 +126,23 @@
     return newest_ms is None or now_ms - newest_ms >= WITNESS_SAMPLE_AGE_MS
 
 
-def _ask_witnesses(
+def _query_witnesses(
     state: states.GroupState,
     now_ms: int,
     others: list[states.Upstream],
 ) -> list[messages.Send]:
-    """Ask the replicas that answer for their terms, if one is silent."""
+    """Query the terms of reachable replicas if another member is silent."""
     late = [u for u in others if u.refused_sent_ms < state.wanted_ms]
-    if not _is_silent(state, now_ms, late):
+    if not _is_delayed_by_silence(state, now_ms, late):
         return []
-    gap_ms = WITNESS_INTERVAL_MS if state.held else WITNESS_SAMPLE_INTERVAL_MS
+    interval_ms = (
+        WITNESS_INTERVAL_MS if state.held else WITNESS_SAMPLE_INTERVAL_MS
+    )
     outs = []
     for upstream in others:
         if upstream.witness_sent_ms >= state.wanted_ms:
             continue
-        if now_ms - upstream.witness_asked_ms < gap_ms:
+        if now_ms - upstream.witness_asked_ms < interval_ms:
             continue
         free = states.idle_connections(state, upstream.name)
         if free and not proofs.is_unreachable(state, now_ms, upstream):
--- a/topazring/core/synchronous/member_replies.py
+++ b/topazring/core/synchronous/member_replies.py
@@ -1,4 +1,4 @@
-"""Take in what members answer to the steps of a promotion."""
+"""Handle the replies of members to the commands of a promotion."""
 
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
@@ -18,14 +18,14 @@
     connection: states.Connection,
     reply: statements.Reply,
 ) -> list:
-    """Take in a member's answer to a pause, a look or a resume."""
+    """Handle a reply to a pause, demotion, status query or resume."""
     attempt = state.promotion
     command = connection.commands[0]
     name = connection.upstream
     upstream = state.upstreams.get(name)
-    # That this proxy paused it tells nothing of what others do.
-    own_step = isinstance(command, statements.Pause | statements.Demote)
-    if upstream is not None and reply.report is not None and not own_step:
+    # A pause by this proxy does not show whether other proxies paused it.
+    is_own_pause = isinstance(command, statements.Pause | statements.Demote)
+    if upstream is not None and reply.report is not None and not is_own_pause:
         confirmations.note_report(upstream, connection.sent_ms, reply.report)
     if isinstance(command, statements.Resume) and reply.code is None:
         state.paused.discard(name)
@@ -33,7 +33,8 @@
     if attempt is None or reply.report is None:
         return []
     if upstream is None:
-        # Its entry lapsed while it was asked; it is no member any more.
+        # Its entry expired while the command was in flight, so it is no
+        # longer a member.
         return []
     state.term = max(state.term, reply.report.term)
     if isinstance(command, statements.Pause):
@@ -54,12 +55,16 @@
     connection: states.Connection,
     report: statements.StatusReport,
 ) -> list:
-    """Count a paused replica; a primary has paused nothing."""
+    """Handle the report of a member that was sent a pause.
+
+    A replica counts as paused; a primary ignores the pause.
+    """
     name = connection.upstream
-    replaced = report.term < state.term
-    if report.role is statements.Role.PRIMARY and replaced:
-        # It has not learned yet that another led since. Taking it for one
-        # that leads would end this attempt, and each after it, for a second.
+    is_replaced = report.term < state.term
+    if report.role is statements.Role.PRIMARY and is_replaced:
+        # It has not learned yet that another upstream has led since. If it
+        # counted as the primary, this attempt and each later one would end,
+        # for a second.
         attempt.stale_primaries.add(name)
         attempt.asked_ms.pop(name, None)
         return promotion.advance(state, now_ms, attempt)
@@ -75,23 +80,24 @@
             state, now_ms, attempt, 'another leads'
         )
     if report.held_term < attempt.term:
-        # A term was newer than any that had been seen: it is not paused.
+        # The member has seen a newer term than any seen here, so it is not
+        # paused.
         attempt.term = state.term + 1
         attempts.forget_reports(attempt)
         return promotion.advance(state, now_ms, attempt)
-    told = _tell_paused(state, now_ms, attempt, name, report)
+    decided = _log_paused(state, now_ms, attempt, name, report)
     attempts.record_report(attempt, now_ms, name, report)
-    return told + promotion.advance(state, now_ms, attempt)
+    return decided + promotion.advance(state, now_ms, attempt)
 
 
-def _tell_paused(
+def _log_paused(
     state: states.GroupState,
     now_ms: int,
     attempt: attempts.Attempt,
     name: str,
     report: statements.StatusReport,
 ) -> list:
-    """Tell where the log of a member ends, once an attempt."""
+    """Log where the log of a paused member ends, once per attempt."""
     if name in attempt.logged_paused:
         return []
     attempt.logged_paused.add(name)
@@ -113,12 +119,12 @@
     name: str,
     report: statements.StatusReport,
 ) -> list:
-    """Take in a primary that is one no more.
+    """Handle the report of a primary that was sent a demotion.
 
-    One that had been replaced follows whoever leads from now on, and would
-    confirm what nobody else holds. So it is a replica to be paused like any
-    other before it counts. One would notice by an acknowledged write that is
-    gone after a hand-over.
+    A replaced primary that is demoted follows the present leader and would
+    confirm writes that no other replica has. It must therefore be paused like
+    any other replica before its report counts; otherwise an acknowledged
+    write is lost in a hand-over.
     """
     if report.role is statements.Role.PRIMARY:
         attempt.term = state.term + 1
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -1,11 +1,12 @@
 """Decide which upstream leads its group.
 
-What an upstream says on a connection goes before what a list says of it:
-the entries of a crashed primary linger, and a replaced one that is cut off
-from the list still stands there as the primary.
+A reply on a connection takes precedence over an entry in the list of
+upstreams: the entry of a crashed primary remains until it expires, and a
+replaced primary that cannot reach the list is still listed as the primary.
 
-Two may claim to lead at a time. The one of the newer term does; the other
-was replaced and has not learned of it, and is told by whoever reaches it.
+Two upstreams may claim to lead at the same time. The one of the newer term is
+the primary; the other was replaced without learning of it, and every proxy
+that can reach it demotes it.
 """
 
 from topazring.core import places
@@ -20,17 +21,17 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'resolve_claims',
+    'adopt_listed_primary',
     'note_begin_accepted',
     'note_log_position',
     'note_not_leading',
     'note_report',
-    'adopt_listed_primary',
+    'resolve_claims',
 ]
 
-# A replaced primary is told again after that long that it leads no more.
+# A replaced primary is sent the next DEMOTE no earlier than this.
 DEMOTE_RETRY_MS = 200
-# Who claims to lead is asked for its term no more often.
+# Minimum interval between term queries to an upstream that claims to lead.
 TERM_QUERY_INTERVAL_MS = 100
 
 
@@ -40,13 +41,13 @@
     upstream: states.Upstream,
     place: places.Place | None,
 ) -> None:
-    """Take in where an upstream's log stands."""
+    """Record a reply of an upstream, and its log position if there is one."""
     upstream.heard_ms = now_ms
     upstream.unheard_since_ms = None
     upstream.failed_dials = 0
     if place is None:
         return
-    # Not the highest: a replica that a promotion rolled back goes back too.
+    # Not the maximum: a promotion may roll a replica back.
     upstream.place = place
     upstream.place_ms = now_ms
     state.term = max(state.term, place.log_term)
@@ -58,60 +59,64 @@
     upstream: states.Upstream,
     sent_ms: int,
 ) -> list:
-    """Take in that an upstream took a transaction that was sent then."""
+    """Record that an upstream accepted a transaction sent at `sent_ms`.
+
+    It becomes the primary unless another upstream's claim outranks it; while
+    the terms of both claims are not known, the first claim stands.
+    """
     upstream.refuted_ms = None
     upstream.took_sent_ms = max(upstream.took_sent_ms, sent_ms)
     if not proofs.leads_newest_term(state, upstream):
-        _question(state, upstream, sent_ms)
+        _note_stale_claim(state, upstream, sent_ms)
         return []
     rival = state.upstreams.get(state.primary)
     if rival is None or rival is upstream:
-        return _accept(state, now_ms, upstream)
-    if not _claims(state, now_ms, rival):
-        return _accept(state, now_ms, upstream)
+        return _accept_primary(state, now_ms, upstream)
+    if not _may_still_lead(state, now_ms, rival):
+        return _accept_primary(state, now_ms, upstream)
     if not upstream.lead_term or not rival.lead_term:
         upstream.in_question = not upstream.lead_term
         rival.in_question = not rival.lead_term
         return []
     if _rank(upstream) > _rank(rival):
-        return _accept(state, now_ms, upstream)
+        return _accept_primary(state, now_ms, upstream)
     if _rank(upstream) < _rank(rival):
-        _outrank(upstream, sent_ms)
+        _note_outranked(upstream, sent_ms)
     return []
 
 
 def _rank(upstream: states.Upstream) -> tuple[int, int]:
-    """Return what orders two that claim to lead.
+    """Return the sort key that orders upstreams that claim to lead.
 
-    A replaced primary may state the term of its successor already; entries
-    of that term are in the successor's log alone.
+    A replaced primary may already report the term of its successor; only the
+    successor's log has entries of that term.
     """
     return (upstream.lead_term, upstream.place.log_term)
 
 
-def _outrank(upstream: states.Upstream, sent_ms: int) -> None:
-    """Count an upstream, when it was asked, as one that does not lead."""
+def _note_outranked(upstream: states.Upstream, sent_ms: int) -> None:
+    """Record that an upstream did not lead when it was asked."""
     proofs.note_refusal(upstream, sent_ms)
     upstream.claimed_ms = states.NEVER_MS
     upstream.to_depose = True
 
 
-def _claims(
+def _may_still_lead(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether an upstream may still lead in its own eyes."""
+    """Return whether an upstream may still consider itself the primary."""
     if upstream.refuted_ms is not None or not upstream.heard_ms:
         return False
     return failure_detection.detect_silence(state, now_ms, upstream) is None
 
 
-def _accept(
+def _accept_primary(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     if not state.proven:
         state.departures.begin(now_ms, upstream.place)
     elif state.proven != upstream.name:
-        # A new primary began with all that had been acknowledged before.
+        # A new primary's log starts with every write acknowledged before.
         state.acknowledged = max(state.acknowledged, upstream.place)
     if state.proven != upstream.name:
         state.proven = upstream.name
@@ -120,38 +125,38 @@
         state.start = known_places.Start(upstream.name, upstream.place)
     if state.primary == upstream.name:
         return []
-    return _lead(state, now_ms, upstream, 'it took a transaction')
+    return _set_primary(state, now_ms, upstream, 'it took a transaction')
 
 
-def _question(
+def _note_stale_claim(
     state: states.GroupState, upstream: states.Upstream, sent_ms: int
 ) -> None:
-    """Take in the claim of one that leads an old term, as far as is known."""
-    # Its word on its term may be older than its lead.
+    """Record a claim of an upstream that seems to lead an old term."""
+    # Its last reported term may be older than its current leadership.
     upstream.in_question = True
     leader = state.upstreams.get(state.primary)
     if leader is None or not upstream.lead_term:
         return
     if _rank(upstream) < _rank(leader):
-        _outrank(upstream, sent_ms)
+        _note_outranked(upstream, sent_ms)
 
 
 def resolve_claims(state: states.GroupState, now_ms: int) -> list:
-    """Ask for the terms of claims, and depose replaced primaries.
+    """Query the terms of upstreams that claim to lead; demote replaced ones.
 
-    One that was replaced would learn of it by itself a second after it
-    reaches its successor, and until then keep hanging what is written there.
+    A replaced primary steps down by itself only a second after it reaches its
+    successor, and until then writes sent to it hang.
     """
     outs: list = []
     for upstream in state.upstreams.values():
         if upstream.to_depose:
-            outs += _depose(state, now_ms, upstream)
+            outs += _demote_replaced(state, now_ms, upstream)
         if upstream.in_question:
-            outs += _ask_term(state, now_ms, upstream)
+            outs += _query_term(state, now_ms, upstream)
     return outs
 
 
-def _ask_term(
+def _query_term(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     free = states.idle_connections(state, upstream.name)
@@ -162,7 +167,7 @@
     return [connections.send(free[0], now_ms, errand, (statements.Status(),))]
 
 
-def _depose(
+def _demote_replaced(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     leader = state.upstreams.get(state.primary)
@@ -195,7 +200,7 @@
     sent_ms: int,
     report: statements.StatusReport,
 ) -> list:
-    """Take in an upstream's own word on its part and term."""
+    """Record the role and term that an upstream reports."""
     upstream.in_question = False
     confirmations.note_report(upstream, sent_ms, report)
     proofs.note_report(state, upstream, sent_ms, report)
@@ -207,7 +212,7 @@
 def note_not_leading(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
-    """Take in that an upstream refused as one that does not lead."""
+    """Record that an upstream refused a request because it does not lead."""
     upstream.refuted_ms = now_ms
     upstream.lead_term = 0
     upstream.claimed_ms = states.NEVER_MS
@@ -216,8 +221,8 @@
         return []
     state.primary = ''
     state.primary_lost_ms = now_ms
-    _forget_proofs(state)
-    # A list that is newer than the refusal may name the next one already.
+    _discard_proofs(state)
+    # A list newer than the refusal may already name the next primary.
     return [
         messages.Decided(
             'primary deposed', inputs={'upstream': upstream.name}
@@ -226,8 +231,8 @@
     ]
 
 
-def _forget_proofs(state: states.GroupState) -> None:
-    """Want no proof any more of the lead of one that leads no more."""
+def _discard_proofs(state: states.GroupState) -> None:
+    """Discard pending leadership proofs when the primary changes."""
     state.pending.clear()
     state.wanted_ms = states.NEVER_MS
     state.doubted_ms = None
@@ -235,7 +240,7 @@
 
 
 def adopt_listed_primary(state: states.GroupState, now_ms: int) -> list:
-    """Believe the list where no connection has said otherwise."""
+    """Adopt the listed primary unless a reply has refuted its entry."""
     claims = [
         upstream
         for upstream in state.upstreams.values()
@@ -250,15 +255,19 @@
     if current is not None:
         if newest.listed_revision <= current.listed_revision:
             return []
-        if _claims(state, now_ms, current) and current.took_sent_ms > 0:
-            # It takes transactions: terms decide, once both are asked. An
-            # entry says what its writer believes, and may be late.
+        if (
+            _may_still_lead(state, now_ms, current)
+            and current.took_sent_ms > 0
+        ):
+            # The current primary accepts transactions, so the terms decide
+            # once both are queried. An entry states its writer's view, which
+            # may be outdated.
             proofs.request_proof(state, now_ms)
             return []
-    return _lead(state, now_ms, newest, 'the list says so')
+    return _set_primary(state, now_ms, newest, 'the list says so')
 
 
-def _lead(
+def _set_primary(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
@@ -276,7 +285,7 @@
     state.last_primary = upstream.name
     state.last_primary_born_ms = upstream.born_ms
     state.primary_lost_ms = None
-    _forget_proofs(state)
+    _discard_proofs(state)
     if lost_ms is not None:
         primary_availability.note_outage(state, now_ms - lost_ms)
     return [
--- a/topazring/core/synchronous/primary_availability.py
+++ b/topazring/core/synchronous/primary_availability.py
@@ -1,10 +1,10 @@
-"""Foresee when a request that needs the primary can be served.
+"""Estimate when a request that needs the primary can be served.
 
-While a promotion is under way a request waits if the next primary is
-expected within its time: its caller would use up its tries on proxies that
-are no better off. It is refused at once if the primary comes too late for
-it, and also once a promotion is overdue: then it is probably this proxy that
-is cut off, and another can serve the caller.
+During a promotion a request waits if the next primary is expected before its
+deadline; otherwise its caller would use up its retries on proxies in the same
+situation. It is refused at once if the primary is expected too late for it,
+and also once the promotion is overdue: then this proxy is probably cut off,
+and another proxy can serve the caller.
 """
 
 from topazring.core import outcomes
@@ -24,25 +24,25 @@
 
 Reason = outcomes.Reason
 
-# Of a new gap so much enters the estimate.
+# Weight of a new outage in the moving average.
 OUTAGE_WEIGHT = 0.3
 MIN_OUTAGE_MS = 400
 MAX_OUTAGE_MS = 2500
-# A promotion that takes this many times as long as usual is overdue.
+# A promotion that takes this many times the average outage is overdue.
 OVERDUE_FACTOR = 1.3
-# When to come back to another proxy, which has room at once.
+# Retry delay when another proxy is expected to serve the request at once.
 OTHER_PROXY_RETRY_MS = 50
 
 
 def lost_since(state: states.GroupState, now_ms: int) -> int | None:
-    """Return since when no primary can be reached from here."""
+    """Return the time since which this proxy reaches no primary, or None."""
     if not state.primary:
         return state.primary_lost_ms
     upstream = state.upstreams.get(state.primary)
     if upstream is None:
         return now_ms
     if states.is_closed_to_work(upstream, now_ms):
-        # It leaves, and was not replaced in time.
+        # The primary is leaving, and was not replaced in time.
         return upstream.closed_to_work_ms
     since_ms = failure_detection.unanswered_since(state, upstream)
     if since_ms is None or now_ms - since_ms < failure_detection.SILENT_MS:
@@ -55,7 +55,7 @@
 ) -> outcomes.NotRun | None:
     """Return the refusal of a request that the primary cannot serve in time.
 
-    A single write needs no proof of the lead: its confirmation is one.
+    A single write needs no leadership proof: its confirmation is one.
     """
     if state.isolated_with:
         return outcomes.NotRun(Reason.NO_PRIMARY, OTHER_PROXY_RETRY_MS)
@@ -63,7 +63,7 @@
         return outcomes.NotRun(Reason.CONNECTION_LIMIT, OTHER_PROXY_RETRY_MS)
     since_ms = lost_since(state, now_ms)
     if since_ms is None:
-        if _would_be_unsure(state, now_ms, work.request):
+        if _would_stall(state, now_ms, work.request):
             return outcomes.NotRun(Reason.NOT_CONFIRMED, OTHER_PROXY_RETRY_MS)
         needs_proof = proofs.needs_proof(work.request)
         if needs_proof and proofs.is_leadership_unproven(state, now_ms):
@@ -77,21 +77,22 @@
     return None
 
 
-def _would_be_unsure(
+def _would_stall(
     state: states.GroupState, now_ms: int, request: messages.Request
 ) -> bool:
-    """Say whether a write would be confirmed, and could not be acknowledged.
+    """Return whether a write would be confirmed but not acknowledged.
 
-    Refused before it runs its caller may try again at another proxy, which
-    may reach what this one cannot; afterwards it is unknown.
+    If it is refused before it runs, its caller may retry at another proxy,
+    which may reach members that this one cannot; afterwards its outcome is
+    unknown.
     """
-    opens = request.begins and not request.read_only
-    if not request.writes and not opens:
+    begins_write = request.begins and not request.read_only
+    if not request.writes and not begins_write:
         return False
     return confirmations.is_acknowledgement_stalled(state, now_ms)
 
 
 def note_outage(state: states.GroupState, gap_ms: int) -> None:
-    """Learn from a gap that ended."""
+    """Update the average outage duration with an outage that ended."""
     gap_ms = min(MAX_OUTAGE_MS, max(MIN_OUTAGE_MS, gap_ms))
     state.gap_ms += (gap_ms - state.gap_ms) * OUTAGE_WEIGHT
--- a/topazring/core/synchronous/promotion_commands.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -1,4 +1,4 @@
-"""Send what a promotion asks of a group's members."""
+"""Send the commands of a promotion to a group's members."""
 
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import connections
@@ -7,18 +7,19 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['send_commands', 'resume_paused']
+__all__ = ['resume_paused', 'send_commands']
 
-# A member that has not answered is asked again, on another connection.
+# A member that has not replied is sent the command again after this long, on
+# another connection.
 COMMAND_RETRY_MS = 200
-# How often a successor's log is looked at while it catches up.
+# Interval between status queries to a successor while it catches up.
 STATUS_INTERVAL_MS = 30
 
 
 def send_commands(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
-    """Have members pause, or tell where their logs stand."""
+    """Send members a pause, a demotion or a status query."""
     outs: list = []
     for name in attempts.members_to_query(state, attempt):
         asked_ms = attempt.asked_ms.get(name)
@@ -41,7 +42,7 @@
         sent = send_control(state, now_ms, name, command)
         outs += sent
         if not any(isinstance(out, messages.Send) for out in sent):
-            # Only dialled; asked as soon as that is answered.
+            # Only a dial was started; the command is sent once it succeeds.
             continue
         attempt.asked_ms[name] = now_ms
         if isinstance(command, statements.Pause):
@@ -52,9 +53,9 @@
 def _is_to_demote(
     state: states.GroupState, attempt: attempts.Attempt, name: str
 ) -> bool:
-    if name in attempt.replaced:
+    if name in attempt.stale_primaries:
         return True
-    return name == attempt.old and not failure_detection.is_recreated(
+    return name == attempt.old_primary and not failure_detection.is_recreated(
         state, name
     )
 
@@ -74,21 +75,22 @@
 
 
 def resume_paused(state: states.GroupState, now_ms: int) -> list:
-    """Have every replica receive again that an attempt had paused."""
+    """Resume replication on every replica that an attempt had paused."""
     outs: list = []
     if not state.primary or state.unfenced:
-        # An earlier holder's order may still be carried out, and what it
-        # paused is all that keeps its choice safe.
+        # An order of an earlier lease holder may still be carried out, and
+        # its choice of successor is safe only while the members that it
+        # paused remain paused.
         return outs
     for name in sorted(state.paused):
         upstream = state.upstreams.get(name)
         if upstream is None or name == state.primary:
             state.paused.discard(name)
             continue
-        under_way = any(
+        is_in_flight = any(
             connection.errand is states.Errand.CONTROL
             for connection in states.connections_to(state, name)
         )
-        if not under_way:
+        if not is_in_flight:
             outs += send_control(state, now_ms, name, statements.Resume())
     return outs
--- a/topazring/core/synchronous/proofs.py
+++ b/topazring/core/synchronous/proofs.py
@@ -1,33 +1,34 @@
-"""Prove that nobody but the primary leads.
-
-A promotion does not depose the old primary at once: cut off from its
-successor it goes on taking transactions, and its reads lack what the
-successor has acknowledged. So a BEGIN that succeeds shows only that an
-upstream leads in its own eyes. One would notice by reads that miss saved
-work on one side of a partition.
-
-What proves that no other had acknowledged anything by a moment, asked at
-that moment or later:
-
-- every other member refuses BEGIN. It takes no slot;
-- or all others but one say that they are replicas of no newer term. Each
-  acknowledged write is held by two members, so the silent one, should it
-  lead, has acknowledged nothing. That question takes a slot, so it is asked
-  only while a member is silent and somebody waits for the answer;
-- or, where one of them took a BEGIN and has refused none since, all others
-  but that one say that they are replicas of the very term that the primary
-  leads and has written in. A primary that went dark stays such a one, and
-  reads at its successor would be refused until it is listed no more, for
-  some 5 s;
-- or a replica that vouches has confirmed a write to the primary. A promotion
-  pauses all members before its order, so none had been ordered.
-
-A replica that has just come may confirm what it should not: whoever ordered
-may not have known it, and it may have come to the wrong side of a partition.
-So a confirmation proves something only where it is sound.
-
-A read at the primary runs at once and is answered when the lead is proved
-for the time of its arrival.
+"""Prove that the primary is the only upstream that leads its group.
+
+A promotion does not demote the old primary at once. While it is cut off from
+its successor it keeps accepting transactions, and its reads lack the writes
+that the successor has acknowledged. A successful BEGIN therefore shows only
+that an upstream considers itself the primary. Without a proof, reads on one
+side of a partition would miss acknowledged writes.
+
+Any of the following, requested at time T or later, proves that no other
+upstream had acknowledged a write by T:
+
+- Every other member refuses BEGIN. This takes no slot.
+- All other members but one report that they are replicas of no newer term.
+  Each acknowledged write is stored by two members, so the silent one has
+  acknowledged nothing even if it leads. The status query takes a slot, so it
+  is sent only while a member is silent and a request waits for the proof.
+- If one member accepted a BEGIN and has refused none since, all other members
+  but that one report that they are replicas of exactly the term that the
+  primary leads and has written in. A crashed or partitioned primary remains
+  in this state, and reads at its successor would otherwise be refused for
+  some 5 s, until its entry leaves the list.
+- An established replica has confirmed a write to the primary. A promotion
+  pauses all members before it orders a successor, so no successor had been
+  ordered.
+
+A new replica may confirm a write that it should not: the promoting proxy may
+not have seen it in the list, and it may have joined on the wrong side of a
+partition. A confirmation therefore counts as a proof only if it is durable.
+
+A read at the primary runs at once; its result is returned when the leadership
+is proved for the time of its arrival.
 """
 
 import collections.abc
@@ -40,63 +41,63 @@
 
 __all__ = [
     'UNPROVEN_AFTER_MS',
+    'apply_proof',
     'claims_to_lead',
     'contests_leadership',
     'is_leadership_unproven',
     'is_superseded',
     'is_unreachable',
     'leads_newest_term',
-    'required_proof_ms',
     'needs_proof',
     'note_confirmed',
     'note_refusal',
     'note_report',
     'proven_until_ms',
-    'apply_proof',
     'request_proof',
+    'required_proof_ms',
 ]
 
-# A new member is known to whoever promotes within milliseconds, and within
-# 1.2 s to one that the platform's store turns away and that asks its peers.
+# A promoting proxy sees a new member in the list within milliseconds, and
+# within 1.2 s if the platform's store refuses it and it asks its peers.
 ESTABLISHED_AFTER_MS = 2000
-# A replica that left so much unanswered cannot be reached.
+# A replica that has left commands unanswered for this long is unreachable.
 UNREACHABLE_AFTER_MS = 150
-# After so long without a proof none is to be had from here, and callers are
-# better served by another proxy. A lost answer costs 250 ms.
+# After this long without a proof this proxy is assumed to be unable to get
+# one, and another proxy serves callers better. A lost reply costs 250 ms.
 UNPROVEN_AFTER_MS = 300
 
 
 def leads_newest_term(
     state: states.GroupState, upstream: states.Upstream
 ) -> bool:
-    """Say whether no term is known that is newer than an upstream's own."""
+    """Return whether no term newer than an upstream's own has been seen."""
     return _own_term(upstream) >= state.term
 
 
 def _own_term(upstream: states.Upstream) -> int:
-    """Return the newest term that an upstream is known to have led or held."""
+    """Return the newest term that an upstream led or has in its log."""
     return max(upstream.lead_term, upstream.place.log_term)
 
 
 def is_superseded(state: states.GroupState, upstream: states.Upstream) -> bool:
-    """Say whether an upstream is known to lead an old term only."""
+    """Return whether an upstream leads only a term that has been replaced."""
     return bool(upstream.lead_term) and not leads_newest_term(state, upstream)
 
 
 def proven_until_ms(state: states.GroupState) -> int:
-    """Return the last moment at which none but the primary led."""
+    """Return the latest time at which only the primary is proved to lead."""
     primary = state.upstreams.get(state.primary)
     if primary is None or not leads_newest_term(state, primary):
         return states.NEVER_MS
     others = states.others(state)
     if not others:
-        # Nobody is listed who could be promoted.
+        # No other member is listed that could be promoted.
         return primary.took_sent_ms
     refused_ms = min(upstream.refused_sent_ms for upstream in others)
     if any(claims_to_lead(upstream) for upstream in others):
-        # A replaced primary may state its successor's term before it steps
-        # down, and so do those that follow the successor. Entries of that
-        # term are in the successor's log alone.
+        # A replaced primary may report its successor's term before it steps
+        # down, and so do the replicas of the successor. Only the successor's
+        # log has entries of that term.
         return max(
             refused_ms, _by_all_but_one(u.followed_sent_ms for u in others)
         )
@@ -108,9 +109,9 @@
 
 
 def _by_all_but_one(answered_ms: collections.abc.Iterable[int]) -> int:
-    """Return until when all members but one have answered.
+    """Return the time up to which all members but one have answered.
 
-    With a single other there is nobody to ask.
+    With a single other member there is none to query.
 
     >>> _by_all_but_one([7, states.NEVER_MS, 5])
     5
@@ -122,10 +123,12 @@
 
 
 def claims_to_lead(upstream: states.Upstream) -> bool:
-    """Say whether an upstream last took a transaction, and was not outranked.
+    """Return whether an upstream has accepted a BEGIN and refused none since.
 
-    >>> one = states.Upstream('u', 'u:1', 'here', 'replica', 1)
-    >>> claims_to_lead(one)
+    A claim that a newer term has superseded counts as refused.
+
+    >>> upstream = states.Upstream('u', 'u:1', 'here', 'replica', 1)
+    >>> claims_to_lead(upstream)
     False
     """
     return upstream.took_sent_ms > upstream.refused_sent_ms
@@ -134,10 +137,11 @@
 def contests_leadership(
     state: states.GroupState, upstream: states.Upstream
 ) -> bool:
-    """Say whether another claims to lead since the primary is believed to.
+    """Return whether another upstream claims to lead since the primary does.
 
-    By the list or by taking a transaction, and nothing has refuted it. A
-    primary that went dark took its last one before its successor led.
+    It claims to by its list entry or by accepting a transaction, as long as
+    nothing has refuted the claim. A primary that stopped responding accepted
+    its last transaction before its successor led.
     """
     if upstream.name == state.primary:
         return False
@@ -147,12 +151,12 @@
     return max(took_ms, upstream.claimed_ms) > state.led_ms
 
 
-def _vouch(state: states.GroupState, proven: int) -> None:
-    """Let members vouch for the lead that were there when it was proved."""
+def _mark_established(state: states.GroupState, proven_ms: int) -> None:
+    """Mark members as established that were listed before the last proof."""
     for upstream in state.upstreams.values():
         if (
             not upstream.vouches
-            and proven - upstream.come_ms >= ESTABLISHED_AFTER_MS
+            and proven_ms - upstream.come_ms >= ESTABLISHED_AFTER_MS
         ):
             upstream.vouches = True
 
@@ -160,16 +164,16 @@
 def is_unreachable(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether a member leaves unanswered what it is asked."""
+    """Return whether a member has left its last commands unanswered."""
     return failure_detection.is_unanswered(
         state, now_ms, upstream, UNREACHABLE_AFTER_MS
     )
 
 
 def request_proof(state: states.GroupState, at_ms: int) -> None:
-    """Have the lead proved for a moment.
+    """Request a leadership proof for a time.
 
-    Without a primary there is nothing to prove, and nothing to doubt.
+    Without a primary there is nothing to prove, and the request is ignored.
     """
     if not state.primary:
         return
@@ -181,14 +185,15 @@
 def required_proof_ms(
     commands: tuple[statements.Command, ...], request: messages.Request
 ) -> int | None:
-    """Return for when the lead has to be proved before a read is answered.
+    """Return the time for which a read needs a leadership proof, in ms.
 
-    None for what a place bounds, and for writes: their answer is the proof.
+    None for reads bounded by a log position, and for writes, whose
+    confirmation is the proof.
     """
     begin = commands[-1]
     if isinstance(begin, statements.Begin):
-        bounded = begin.read_only and begin.after is not None
-        return None if bounded else request.arrived_ms
+        is_bounded = begin.read_only and begin.after is not None
+        return None if is_bounded else request.arrived_ms
     after = getattr(begin, 'after', None)
     if request.writes or after is not None or request.transaction:
         return None
@@ -196,39 +201,43 @@
 
 
 def needs_proof(request: messages.Request) -> bool:
-    """Say whether a request at the primary is answered only on a proof."""
+    """Return whether a request at the primary needs a leadership proof."""
     return not request.writes or bool(request.transaction)
 
 
 def is_leadership_unproven(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether no proof can be had from here."""
+    """Return whether this proxy has waited too long for a proof."""
     since_ms = state.doubted_ms
     return since_ms is not None and now_ms - since_ms >= UNPROVEN_AFTER_MS
 
 
 def apply_proof(state: states.GroupState) -> None:
-    """Use what is proved: places become samples, doubts end."""
-    proven = proven_until_ms(state)
-    _vouch(state, proven)
-    while state.pending and state.pending[0].sent_ms <= proven:
+    """Apply the latest proof.
+
+    Established members are marked, log positions reported before the proof
+    become samples, and the unproven period ends if the proof covers it.
+    """
+    proven_ms = proven_until_ms(state)
+    _mark_established(state, proven_ms)
+    while state.pending and state.pending[0].sent_ms <= proven_ms:
         freshness.add_sample(state, state.pending.popleft())
-    if state.doubted_ms is None or proven < state.doubted_ms:
+    if state.doubted_ms is None or proven_ms < state.doubted_ms:
         return
     state.doubted_ms = None
-    if proven < state.wanted_ms:
+    if proven_ms < state.wanted_ms:
         state.doubted_ms = state.wanted_ms
 
 
 def note_refusal(upstream: states.Upstream, sent_ms: int) -> None:
-    """Take in that an upstream, when it was asked, led no newer term."""
+    """Record that an upstream led no newer term when it was asked."""
     upstream.refused_sent_ms = max(upstream.refused_sent_ms, sent_ms)
 
 
 def note_confirmed(upstream: states.Upstream, sent_ms: int) -> None:
-    """Take in that a write of an upstream is sure to last.
+    """Record that a write of an upstream is durable.
 
-    A member that vouches received it, so it was not paused when the write
-    was sent.
+    An established member received it, so that member was not paused when the
+    write was sent.
     """
     upstream.confirmed_sent_ms = max(upstream.confirmed_sent_ms, sent_ms)
 
@@ -239,7 +248,7 @@
     sent_ms: int,
     report: statements.StatusReport,
 ) -> None:
-    """Take in what an upstream says of its part and term."""
+    """Record the role and term that an upstream reports."""
     state.term = max(state.term, report.term)
     if report.role is statements.Role.PRIMARY:
         upstream.lead_term = report.term
@@ -251,7 +260,7 @@
     if report.term <= _own_term(primary):
         upstream.witness_sent_ms = max(upstream.witness_sent_ms, sent_ms)
     # Before its first entry a new primary's log ends with the old term, which
-    # a replica that still follows the old primary states as well.
-    wrote = primary.lead_term == primary.place.log_term
-    if upstream.vouches and wrote and report.term == primary.lead_term:
+    # a replica that still follows the old primary reports as well.
+    has_written = primary.lead_term == primary.place.log_term
+    if upstream.vouches and has_written and report.term == primary.lead_term:
         upstream.followed_sent_ms = max(upstream.followed_sent_ms, sent_ms)
--- a/topazring/core/synchronous/reply_effects.py
+++ b/topazring/core/synchronous/reply_effects.py
@@ -1,4 +1,4 @@
-"""Settle a connection, and what is known, after an answer."""
+"""Update a connection and the group's state after a reply."""
 
 from topazring.core import places
 from topazring.core.synchronous import concurrency_limit
@@ -18,7 +18,7 @@
     connection: states.Connection,
     last: statements.Reply,
 ) -> list:
-    """Free a connection that is outside any transaction, else close it."""
+    """Release a connection outside any transaction, or close it otherwise."""
     connection.transaction = 0
     concurrency_limit.end_hold(state, now_ms, connection)
     if last.state is not statements.SessionState.IDLE:
@@ -27,9 +27,9 @@
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
         return list(connections.close_connection(state, connection))
-    # A promotion may still have to ask it.
-    closed = states.is_closed_to_work(upstream, now_ms)
-    if closed and state.promotion is None:
+    # A promotion may still have to query the upstream.
+    is_closed = states.is_closed_to_work(upstream, now_ms)
+    if is_closed and state.promotion is None:
         return list(connections.close_connection(state, connection))
     return []
 
@@ -37,11 +37,11 @@
 def note_confirmed(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> None:
-    """Take in a write whose confirmation is sound.
+    """Record a durable write.
 
-    Logs are received in order. So whoever holds the write holds all that the
-    primary's log held before it was sent, and all of that counts as
-    acknowledged.
+    Entries are received in order. A log that contains the write therefore
+    contains every entry that was in the primary's log before the write was
+    sent, and all of these count as acknowledged.
     """
     upstream = state.upstreams[confirmation.upstream]
     proofs.note_confirmed(upstream, confirmation.sent_ms)
