--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -32,7 +32,7 @@
 
 from topazring.core import places
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -75,17 +75,17 @@
 
     These are the established members, or all others if none is established.
     """
-    return _established(state) or states.others(state)
+    return _established(state) or states.other_members(state)
 
 
 def _established(state: states.GroupState) -> list[states.Upstream]:
-    return [u for u in states.others(state) if u.vouches]
+    return [u for u in states.other_members(state) if u.is_established]
 
 
 def is_durable(
     state: states.GroupState,
     now_ms: int,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> bool:
     """Return whether a confirmed write survives the loss of its primary."""
     listed = state.primary in state.upstreams
@@ -93,7 +93,7 @@
         return False
     if _is_contested(state) or _is_outdated(state, confirmation):
         return False
-    if not states.others(state):
+    if not states.other_members(state):
         # No other member is listed that could be promoted.
         return True
     chosen = _ordered_successor(state)
@@ -109,7 +109,7 @@
 
 
 def is_in_successor_log(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool | None:
     """Return whether the successor of a write's primary began with the write.
 
@@ -120,7 +120,7 @@
     if before is None or not before.leaving:
         return False
     successor = state.upstreams.get(state.primary)
-    if successor is None or state.proven != state.primary:
+    if successor is None or state.proven_primary != state.primary:
         return None
     if _holds(successor, confirmation):
         return True
@@ -129,15 +129,15 @@
 
 
 def _is_outdated(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether the term of a write is known to have ended."""
     place = confirmation.place
     if place is not None and place.log_term < state.term:
         return True
-    if confirmation.sent_ms - state.over_ms >= ENDED_TERM_MS:
+    if confirmation.sent_ms - state.term_ended_ms >= ENDED_TERM_MS:
         return False
-    return place is None or place.log_term <= state.over_term
+    return place is None or place.log_term <= state.ended_term
 
 
 def _is_contested(state: states.GroupState) -> bool:
@@ -148,7 +148,7 @@
     """
     return any(
         proofs.contests_leadership(state, upstream)
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
     )
 
 
@@ -163,7 +163,7 @@
 def _successor_holds(
     state: states.GroupState,
     now_ms: int,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> bool:
     """Return whether the successor of a leaving primary has a write.
 
@@ -179,28 +179,29 @@
     term = confirmation.place.log_term
     unpaused = [
         upstream
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
         if upstream.held_term <= term
         and not failure_detection.is_unanswered(
             state, now_ms, upstream, HAND_OVER_MS
         )
     ]
     has_long_listed = any(
-        upstream.vouches or _is_listed_everywhere(upstream, confirmation)
+        upstream.is_established
+        or _is_listed_everywhere(upstream, confirmation)
         for upstream in unpaused
     )
     return has_long_listed and all(_holds(u, confirmation) for u in unpaused)
 
 
 def _is_listed_everywhere(
-    upstream: states.Upstream, confirmation: known_places.Confirmation
+    upstream: states.Upstream, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether all proxies saw a member before a write was sent."""
-    return confirmation.sent_ms - upstream.come_ms >= LISTING_DELAY_MS
+    return confirmation.sent_ms - upstream.first_listed_ms >= LISTING_DELAY_MS
 
 
 def _is_holder_listed(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether a promotion that begins now would query a holder.
 
@@ -209,19 +210,19 @@
     """
     holders = [
         upstream
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
         if _is_listed_everywhere(upstream, confirmation)
-        and not upstream.began_again
+        and not upstream.is_recreated
         and _holds(upstream, confirmation)
     ]
     if not holders:
         return False
     held_ms = min(upstream.log_end_sent_ms for upstream in holders)
-    return any(u.reported_sent_ms >= held_ms for u in witnesses(state))
+    return any(u.answered_status_sent_ms >= held_ms for u in witnesses(state))
 
 
 def _is_any_paused(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether a member was paused for a promotion when last queried.
 
@@ -232,13 +233,13 @@
         return False
     return any(
         upstream.held_term > confirmation.place.log_term
-        and upstream.reported_sent_ms >= confirmation.sent_ms
+        and upstream.answered_status_sent_ms >= confirmation.sent_ms
         for upstream in witnesses(state)
     )
 
 
 def _holds(
-    upstream: states.Upstream, confirmation: known_places.Confirmation
+    upstream: states.Upstream, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether a member's log contains a write.
 
@@ -268,7 +269,7 @@
     That is so if another write has waited for STALLED_AFTER_MS, or was given
     up within STALL_RETRY_MS.
     """
-    if now_ms - state.unsure_ms < STALL_RETRY_MS:
+    if now_ms - state.unproven_write_ms < STALL_RETRY_MS:
         return True
     return any(
         now_ms - confirmation.confirmed_ms >= STALLED_AFTER_MS
@@ -279,9 +280,9 @@
 
 def pending_confirmations(
     state: states.GroupState,
-) -> list[known_places.Confirmation]:
+) -> list[position_records.Confirmation]:
     """Return the confirmations whose writes wait to be acknowledged."""
-    waiting = (state.work.get(key) for key in state.held)
+    waiting = (state.work.get(key) for key in state.awaiting_proof)
     return [
         work.confirmation
         for work in waiting
@@ -292,8 +293,8 @@
 def note_successor_gone(state: states.GroupState, now_ms: int) -> None:
     """Record that the successor of the last primary has left the list."""
     state.successor_gone = True
-    state.over_term = max(state.term, FIRST_TERM)
-    state.over_ms = now_ms
+    state.ended_term = max(state.term, FIRST_TERM)
+    state.term_ended_ms = now_ms
 
 
 def note_log_position(
@@ -319,9 +320,9 @@
     report: statements.StatusReport,
 ) -> None:
     """Record a member's status report on its log and on its pause."""
-    if sent_ms < upstream.reported_sent_ms:
+    if sent_ms < upstream.answered_status_sent_ms:
         return
-    upstream.reported_sent_ms = sent_ms
+    upstream.answered_status_sent_ms = sent_ms
     upstream.held_term = report.held_term
     if sent_ms >= upstream.log_end_sent_ms:
         upstream.log_end = report.received
--- a/topazring/core/synchronous/failure_detection.py
+++ b/topazring/core/synchronous/failure_detection.py
@@ -73,7 +73,7 @@
 
 def detect_loss(state: states.GroupState, now_ms: int) -> Loss | None:
     """Return the loss of the primary, or None while it may be alive."""
-    if now_ms - state.woke_ms < RESUME_GRACE_MS and state.woke_ms:
+    if now_ms - state.resumed_ms < RESUME_GRACE_MS and state.resumed_ms:
         return None
     last = state.last_primary
     if state.primary in ('', last) and is_recreated(state, last):
@@ -132,10 +132,10 @@
         connection.sent_ms
         for connection in states.connections_to(state, upstream.name)
         if connection.phase is not states.Phase.IDLE
-        and connection.sent_ms > upstream.heard_ms
+        and connection.sent_ms > upstream.last_received_ms
     ]
-    if upstream.unheard_since_ms is not None:
-        sent_ms.append(upstream.unheard_since_ms)
+    if upstream.unresponsive_since_ms is not None:
+        sent_ms.append(upstream.unresponsive_since_ms)
     return min(sent_ms, default=None)
 
 
@@ -194,7 +194,7 @@
     replicas that apply late cause the same symptom. A promotion therefore
     first queries what they have received.
     """
-    if now_ms - state.looked_ms < STALL_RECHECK_MS:
+    if now_ms - state.replication_checked_ms < STALL_RECHECK_MS:
         return None
     if unanswered_since(state, upstream) is not None:
         # It must first be determined whether the primary answers at all.
@@ -202,7 +202,7 @@
     before = freshness.position_at(state, now_ms - REPLICATION_STALLED_MS)
     if before is None:
         return None
-    replicas = states.others(state)
+    replicas = states.other_members(state)
     if not replicas or any(
         other.place >= before
         or now_ms - other.place_ms > REPLICATION_STALLED_MS
@@ -215,9 +215,9 @@
 
 def waits_for_replica(connection: states.Connection) -> bool:
     """Return whether a write or a COMMIT is in flight on a connection."""
-    if connection.errand is not states.Errand.STATEMENT:
+    if connection.purpose is not states.Purpose.STATEMENT:
         return False
     last = connection.commands[-1]
     if isinstance(last, statements.Commit):
         return True
-    return connection.writing and not connection.transaction
+    return connection.is_writing and not connection.transaction
--- a/topazring/core/synchronous/member_queries.py
+++ b/topazring/core/synchronous/member_queries.py
@@ -42,11 +42,11 @@
     if not state.primary:
         return []
     outs = _query_holders(state, now_ms)
-    if proofs.proven_until_ms(state) >= state.wanted_ms:
+    if proofs.proven_until_ms(state) >= state.newest_needed_ms:
         return outs
-    others = states.others(state)
+    others = states.other_members(state)
     for upstream in others:
-        if upstream.asked_ms >= state.wanted_ms:
+        if upstream.asked_ms >= state.newest_needed_ms:
             continue
         outs += send_leadership_check(state, now_ms, upstream)
     return outs + _query_witnesses(state, now_ms, others)
@@ -59,8 +59,8 @@
     free = states.idle_connections(state, upstream.name)
     if not free:
         return []
-    upstream.asked_ms = upstream.report_asked_ms = now_ms
-    errand = states.Errand.LOOK
+    upstream.asked_ms = upstream.status_asked_ms = now_ms
+    errand = states.Purpose.STATUS_QUERY
     return [connections.send(free[0], now_ms, errand, exchanges.STATUS_QUERY)]
 
 
@@ -72,7 +72,7 @@
     if not free:
         return []
     upstream.asked_ms = now_ms
-    errand = states.Errand.GUARD
+    errand = states.Purpose.LEADERSHIP_CHECK
     return [
         connections.send(free[0], now_ms, errand, exchanges.LEADERSHIP_CHECK)
     ]
@@ -86,16 +86,16 @@
     if not waiting:
         return []
     newest_ms = max(confirmation.confirmed_ms for confirmation in waiting)
-    queried = states.others(state)
+    queried = states.other_members(state)
     if any(c.upstream != state.primary for c in waiting):
         # The present primary may have begun with the write.
         queried.append(state.upstreams[state.primary])
     outs = []
     for upstream in queried:
-        is_queried = upstream.report_asked_ms >= newest_ms
+        is_queried = upstream.status_asked_ms >= newest_ms
         if (
             is_queried
-            and now_ms - upstream.report_asked_ms < HOLDER_INTERVAL_MS
+            and now_ms - upstream.status_asked_ms < HOLDER_INTERVAL_MS
         ):
             continue
         if not proofs.is_unreachable(state, now_ms, upstream):
@@ -107,14 +107,14 @@
     state: states.GroupState, now_ms: int, late: list[states.Upstream]
 ) -> bool:
     """Return whether a silent member delays a read or a sample."""
-    if not late or state.doubted_ms is None:
+    if not late or state.oldest_unproven_ms is None:
         return False
-    is_awaited = state.held or _needs_sample(state, now_ms)
+    is_awaited = state.awaiting_proof or _needs_sample(state, now_ms)
     # While the leadership is unproven reads are refused, so no waiting read
     # would cause the term queries that can end that state.
     if not is_awaited and not proofs.is_leadership_unproven(state, now_ms):
         return False
-    if now_ms - state.doubted_ms >= SILENT_MS:
+    if now_ms - state.oldest_unproven_ms >= SILENT_MS:
         return True
     return not all(
         connections.has_usable_connection(state, u.name) for u in late
@@ -132,22 +132,26 @@
     others: list[states.Upstream],
 ) -> list[messages.Send]:
     """Query the terms of reachable replicas if another member is silent."""
-    late = [u for u in others if u.refused_sent_ms < state.wanted_ms]
+    late = [
+        u for u in others if u.begin_refused_sent_ms < state.newest_needed_ms
+    ]
     if not _is_delayed_by_silence(state, now_ms, late):
         return []
     interval_ms = (
-        WITNESS_INTERVAL_MS if state.held else WITNESS_SAMPLE_INTERVAL_MS
+        WITNESS_INTERVAL_MS
+        if state.awaiting_proof
+        else WITNESS_SAMPLE_INTERVAL_MS
     )
     outs = []
     for upstream in others:
-        if upstream.witness_sent_ms >= state.wanted_ms:
+        if upstream.witness_sent_ms >= state.newest_needed_ms:
             continue
         if now_ms - upstream.witness_asked_ms < interval_ms:
             continue
         free = states.idle_connections(state, upstream.name)
         if free and not proofs.is_unreachable(state, now_ms, upstream):
             upstream.witness_asked_ms = now_ms
-            errand = states.Errand.LOOK
+            errand = states.Purpose.STATUS_QUERY
             status = (statements.Status(),)
             outs.append(connections.send(free[0], now_ms, errand, status))
     return outs
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -13,8 +13,8 @@
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
@@ -42,8 +42,8 @@
     place: places.Place | None,
 ) -> None:
     """Record a reply of an upstream, and its log position if there is one."""
-    upstream.heard_ms = now_ms
-    upstream.unheard_since_ms = None
+    upstream.last_received_ms = now_ms
+    upstream.unresponsive_since_ms = None
     upstream.failed_dials = 0
     if place is None:
         return
@@ -65,7 +65,9 @@
     the terms of both claims are not known, the first claim stands.
     """
     upstream.refuted_ms = None
-    upstream.took_sent_ms = max(upstream.took_sent_ms, sent_ms)
+    upstream.begin_accepted_sent_ms = max(
+        upstream.begin_accepted_sent_ms, sent_ms
+    )
     if not proofs.leads_newest_term(state, upstream):
         _note_stale_claim(state, upstream, sent_ms)
         return []
@@ -75,8 +77,8 @@
     if not _may_still_lead(state, now_ms, rival):
         return _accept_primary(state, now_ms, upstream)
     if not upstream.lead_term or not rival.lead_term:
-        upstream.in_question = not upstream.lead_term
-        rival.in_question = not rival.lead_term
+        upstream.has_pending_claim = not upstream.lead_term
+        rival.has_pending_claim = not rival.lead_term
         return []
     if _rank(upstream) > _rank(rival):
         return _accept_primary(state, now_ms, upstream)
@@ -98,14 +100,14 @@
     """Record that an upstream did not lead when it was asked."""
     proofs.note_refusal(upstream, sent_ms)
     upstream.claimed_ms = states.NEVER_MS
-    upstream.to_depose = True
+    upstream.needs_demotion = True
 
 
 def _may_still_lead(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
     """Return whether an upstream may still consider itself the primary."""
-    if upstream.refuted_ms is not None or not upstream.heard_ms:
+    if upstream.refuted_ms is not None or not upstream.last_received_ms:
         return False
     return failure_detection.detect_silence(state, now_ms, upstream) is None
 
@@ -113,16 +115,18 @@
 def _accept_primary(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
-    if not state.proven:
-        state.departures.begin(now_ms, upstream.place)
-    elif state.proven != upstream.name:
+    if not state.proven_primary:
+        state.departed_members.record_first_place(now_ms, upstream.place)
+    elif state.proven_primary != upstream.name:
         # A new primary's log starts with every write acknowledged before.
         state.acknowledged = max(state.acknowledged, upstream.place)
-    if state.proven != upstream.name:
-        state.proven = upstream.name
+    if state.proven_primary != upstream.name:
+        state.proven_primary = upstream.name
         state.proven_ms = now_ms
-    if state.start.upstream != upstream.name:
-        state.start = known_places.Start(upstream.name, upstream.place)
+    if state.primary_start.upstream != upstream.name:
+        state.primary_start = position_records.PrimaryStart(
+            upstream.name, upstream.place
+        )
     if state.primary == upstream.name:
         return []
     return _set_primary(state, now_ms, upstream, 'it took a transaction')
@@ -133,7 +137,7 @@
 ) -> None:
     """Record a claim of an upstream that seems to lead an old term."""
     # Its last reported term may be older than its current leadership.
-    upstream.in_question = True
+    upstream.has_pending_claim = True
     leader = state.upstreams.get(state.primary)
     if leader is None or not upstream.lead_term:
         return
@@ -149,9 +153,9 @@
     """
     outs: list = []
     for upstream in state.upstreams.values():
-        if upstream.to_depose:
+        if upstream.needs_demotion:
             outs += _demote_replaced(state, now_ms, upstream)
-        if upstream.in_question:
+        if upstream.has_pending_claim:
             outs += _query_term(state, now_ms, upstream)
     return outs
 
@@ -160,10 +164,10 @@
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.questioned_ms < TERM_QUERY_INTERVAL_MS:
+    if not free or now_ms - upstream.claim_checked_ms < TERM_QUERY_INTERVAL_MS:
         return []
-    upstream.questioned_ms = now_ms
-    errand = states.Errand.LOOK
+    upstream.claim_checked_ms = now_ms
+    errand = states.Purpose.STATUS_QUERY
     return [connections.send(free[0], now_ms, errand, (statements.Status(),))]
 
 
@@ -172,14 +176,14 @@
 ) -> list:
     leader = state.upstreams.get(state.primary)
     if leader is None or _rank(leader) <= _rank(upstream):
-        upstream.to_depose = False
+        upstream.needs_demotion = False
         return []
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.deposed_ms < DEMOTE_RETRY_MS:
+    if not free or now_ms - upstream.demotion_sent_ms < DEMOTE_RETRY_MS:
         return []
-    upstream.to_depose = False
-    upstream.deposed_ms = now_ms
-    decided = messages.Decided(
+    upstream.needs_demotion = False
+    upstream.demotion_sent_ms = now_ms
+    decided = messages.LogDecision(
         'deposes a replaced primary',
         inputs={
             'upstream': upstream.name,
@@ -189,7 +193,7 @@
         },
     )
     demote = (statements.Demote(leader.lead_term),)
-    errand = states.Errand.LOOK
+    errand = states.Purpose.STATUS_QUERY
     return [decided, connections.send(free[0], now_ms, errand, demote)]
 
 
@@ -201,7 +205,7 @@
     report: statements.StatusReport,
 ) -> list:
     """Record the role and term that an upstream reports."""
-    upstream.in_question = False
+    upstream.has_pending_claim = False
     confirmations.note_report(upstream, sent_ms, report)
     proofs.note_report(state, upstream, sent_ms, report)
     if report.role is statements.Role.REPLICA:
@@ -216,7 +220,7 @@
     upstream.refuted_ms = now_ms
     upstream.lead_term = 0
     upstream.claimed_ms = states.NEVER_MS
-    upstream.in_question = False
+    upstream.has_pending_claim = False
     if state.primary != upstream.name:
         return []
     state.primary = ''
@@ -224,7 +228,7 @@
     _discard_proofs(state)
     # A list newer than the refusal may already name the next primary.
     return [
-        messages.Decided(
+        messages.LogDecision(
             'primary deposed', inputs={'upstream': upstream.name}
         ),
         *adopt_listed_primary(state, now_ms),
@@ -233,10 +237,10 @@
 
 def _discard_proofs(state: states.GroupState) -> None:
     """Discard pending leadership proofs when the primary changes."""
-    state.pending.clear()
-    state.wanted_ms = states.NEVER_MS
-    state.doubted_ms = None
-    state.unsure_ms = states.NEVER_MS
+    state.pending_samples.clear()
+    state.newest_needed_ms = states.NEVER_MS
+    state.oldest_unproven_ms = None
+    state.unproven_write_ms = states.NEVER_MS
 
 
 def adopt_listed_primary(state: states.GroupState, now_ms: int) -> list:
@@ -257,7 +261,7 @@
             return []
         if (
             _may_still_lead(state, now_ms, current)
-            and current.took_sent_ms > 0
+            and current.begin_accepted_sent_ms > 0
         ):
             # The current primary accepts transactions, so the terms decide
             # once both are queried. An entry states its writer's view, which
@@ -278,8 +282,8 @@
         return []
     lost_ms = primary_availability.lost_since(state, now_ms)
     state.primary = upstream.name
-    state.led_ms = now_ms
-    state.departures.note_lead(upstream.name)
+    state.primary_since_ms = now_ms
+    state.departed_members.record_leader(upstream.name)
     if upstream.name != state.last_primary:
         state.successor_gone = False
     state.last_primary = upstream.name
@@ -289,7 +293,7 @@
     if lost_ms is not None:
         primary_availability.note_outage(state, now_ms - lost_ms)
     return [
-        messages.Decided(
+        messages.LogDecision(
             'primary',
             inputs={
                 'upstream': upstream.name,
--- a/topazring/core/synchronous/promotion_commands.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -69,7 +69,7 @@
     """Send one command, on a new connection where none is free."""
     free = states.idle_connections(state, upstream)
     if free:
-        errand = states.Errand.CONTROL
+        errand = states.Purpose.CONTROL
         return [connections.send(free[0], now_ms, errand, (command,))]
     return connections.dial_beyond_share(state, now_ms, upstream)
 
@@ -77,7 +77,7 @@
 def resume_paused(state: states.GroupState, now_ms: int) -> list:
     """Resume replication on every replica that an attempt had paused."""
     outs: list = []
-    if not state.primary or state.unfenced:
+    if not state.primary or state.needs_fencing:
         # An order of an earlier lease holder may still be carried out, and
         # its choice of successor is safe only while the members that it
         # paused remain paused.
@@ -88,7 +88,7 @@
             state.paused.discard(name)
             continue
         is_in_flight = any(
-            connection.errand is states.Errand.CONTROL
+            connection.purpose is states.Purpose.CONTROL
             for connection in states.connections_to(state, name)
         )
         if not is_in_flight:
