--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -30,7 +30,7 @@
 was replaced.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
@@ -298,7 +298,7 @@
 
 
 def note_log_position(
-    upstream: states.Upstream, sent_ms: int, place: places.Place
+    upstream: states.Upstream, sent_ms: int, place: log_positions.LogPosition
 ) -> None:
     """Record the log position that a member had applied when asked.
 
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -9,7 +9,7 @@
 that can reach it demotes it.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import failure_detection
@@ -39,7 +39,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    place: places.Place | None,
+    place: log_positions.LogPosition | None,
 ) -> None:
     """Record a reply of an upstream, and its log position if there is one."""
     upstream.last_received_ms = now_ms
