--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -132,12 +132,12 @@
     state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Return whether the term of a write is known to have ended."""
-    place = confirmation.place
-    if place is not None and place.log_term < state.term:
+    position = confirmation.place
+    if position is not None and position.log_term < state.term:
         return True
     if confirmation.sent_ms - state.term_ended_ms >= ENDED_TERM_MS:
         return False
-    return place is None or place.log_term <= state.ended_term
+    return position is None or position.log_term <= state.ended_term
 
 
 def _is_contested(state: states.GroupState) -> bool:
@@ -245,10 +245,10 @@
 
     A log end of another term proves nothing, as that log may have diverged.
     """
-    end, place = upstream.log_end, confirmation.place
-    if place is None or upstream.log_end_sent_ms < confirmation.sent_ms:
+    end, position = upstream.log_end, confirmation.place
+    if position is None or upstream.log_end_sent_ms < confirmation.sent_ms:
         return False
-    return end.log_term == place.log_term and end >= place
+    return end.log_term == position.log_term and end >= position
 
 
 def are_replicas_unreachable(state: states.GroupState, now_ms: int) -> bool:
@@ -298,7 +298,9 @@
 
 
 def note_log_position(
-    upstream: states.Upstream, sent_ms: int, place: log_positions.LogPosition
+    upstream: states.Upstream,
+    sent_ms: int,
+    position: log_positions.LogPosition,
 ) -> None:
     """Record the log position that a member had applied when asked.
 
@@ -308,9 +310,9 @@
     if sent_ms < upstream.log_end_sent_ms:
         return
     end = upstream.log_end
-    if place.log_term == end.log_term and place < end:
+    if position.log_term == end.log_term and position < end:
         return
-    upstream.log_end = place
+    upstream.log_end = position
     upstream.log_end_sent_ms = sent_ms
 
 
--- a/topazring/core/synchronous/member_queries.py
+++ b/topazring/core/synchronous/member_queries.py
@@ -60,8 +60,8 @@
     if not free:
         return []
     upstream.asked_ms = upstream.status_asked_ms = now_ms
-    errand = states.Purpose.STATUS_QUERY
-    return [connections.send(free[0], now_ms, errand, exchanges.STATUS_QUERY)]
+    purpose = states.Purpose.STATUS_QUERY
+    return [connections.send(free[0], now_ms, purpose, exchanges.STATUS_QUERY)]
 
 
 def send_leadership_check(
@@ -72,9 +72,9 @@
     if not free:
         return []
     upstream.asked_ms = now_ms
-    errand = states.Purpose.LEADERSHIP_CHECK
+    purpose = states.Purpose.LEADERSHIP_CHECK
     return [
-        connections.send(free[0], now_ms, errand, exchanges.LEADERSHIP_CHECK)
+        connections.send(free[0], now_ms, purpose, exchanges.LEADERSHIP_CHECK)
     ]
 
 
@@ -151,7 +151,7 @@
         free = states.idle_connections(state, upstream.name)
         if free and not proofs.is_unreachable(state, now_ms, upstream):
             upstream.witness_asked_ms = now_ms
-            errand = states.Purpose.STATUS_QUERY
+            purpose = states.Purpose.STATUS_QUERY
             status = (statements.Status(),)
-            outs.append(connections.send(free[0], now_ms, errand, status))
+            outs.append(connections.send(free[0], now_ms, purpose, status))
     return outs
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -39,18 +39,18 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    place: log_positions.LogPosition | None,
+    position: log_positions.LogPosition | None,
 ) -> None:
     """Record a reply of an upstream, and its log position if there is one."""
     upstream.last_received_ms = now_ms
     upstream.unresponsive_since_ms = None
     upstream.failed_dials = 0
-    if place is None:
+    if position is None:
         return
     # Not the maximum: a promotion may roll a replica back.
-    upstream.place = place
+    upstream.place = position
     upstream.place_ms = now_ms
-    state.term = max(state.term, place.log_term)
+    state.term = max(state.term, position.log_term)
 
 
 def note_begin_accepted(
@@ -167,8 +167,8 @@
     if not free or now_ms - upstream.claim_checked_ms < TERM_QUERY_INTERVAL_MS:
         return []
     upstream.claim_checked_ms = now_ms
-    errand = states.Purpose.STATUS_QUERY
-    return [connections.send(free[0], now_ms, errand, (statements.Status(),))]
+    purpose = states.Purpose.STATUS_QUERY
+    return [connections.send(free[0], now_ms, purpose, (statements.Status(),))]
 
 
 def _demote_replaced(
@@ -193,8 +193,8 @@
         },
     )
     demote = (statements.Demote(leader.lead_term),)
-    errand = states.Purpose.STATUS_QUERY
-    return [decided, connections.send(free[0], now_ms, errand, demote)]
+    purpose = states.Purpose.STATUS_QUERY
+    return [decided, connections.send(free[0], now_ms, purpose, demote)]
 
 
 def note_report(
--- a/topazring/core/synchronous/promotion_commands.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -69,8 +69,8 @@
     """Send one command, on a new connection where none is free."""
     free = states.idle_connections(state, upstream)
     if free:
-        errand = states.Purpose.CONTROL
-        return [connections.send(free[0], now_ms, errand, (command,))]
+        purpose = states.Purpose.CONTROL
+        return [connections.send(free[0], now_ms, purpose, (command,))]
     return connections.dial_beyond_share(state, now_ms, upstream)
 
 
