--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -1,4 +1,4 @@
-"""Leave out one rule of the design at a time; the walks have to notice."""
+"""Ablations: each disables one rule, which the random walks must detect."""
 
 import collections.abc
 import contextlib
@@ -22,16 +22,16 @@
 from topazring.core.synchronous import sessions
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
-from topazring.core.synchronous.tests import simulation as worlds
+from topazring.core.synchronous.tests import simulation
 
 __all__ = ['ABLATIONS', 'SOON', 'SOON_THROUGH_ENTRIES']
 
 Ablation = collections.abc.Callable[[], contextlib.AbstractContextManager]
 ABLATIONS: dict[str, Ablation] = {}
-# Noticed by a few dozen walks. The others need a rarer sequence; each has a
-# test of its own that plays it.
+# Detected by a few dozen walks. The others need a rarer sequence of events,
+# and each has a test of its own that runs this sequence.
 SOON: set[str] = set()
-# The same for walks in which proxies that requests come from are lost.
+# The same for walks in which the proxies that requests enter through are lost.
 SOON_THROUGH_ENTRIES: set[str] = set()
 
 
@@ -52,19 +52,21 @@
 
 @_ablation
 def _read_without_guard():
-    """Read at the believed primary without asking whether it leads."""
+    """Read at the assumed primary without a leadership check."""
 
-    def unguarded(connection, request, after):
+    def single_without_check(connection, request, after):
         commands = exchanges.adapt(connection, request)
         commands.append(exchanges.statement_command(request, after))
         return tuple(commands)
 
-    return mock.patch.object(exchanges, 'single_commands', unguarded)
+    return mock.patch.object(
+        exchanges, 'single_commands', single_without_check
+    )
 
 
 @_ablation
 def _use_answer_behind_refused_guard():
-    """Take the answer of a read whose guard was refused."""
+    """Use the result of a read whose leadership check was refused."""
     return mock.patch.object(
         exchanges, 'first_refusal', lambda commands, replies: None
     )
@@ -72,59 +74,61 @@
 
 @_ablation
 def _answer_without_proof():
-    """Answer a read at the primary though another may lead."""
+    """Answer a read at the primary although another may lead."""
     return mock.patch.object(proofs, 'required_proof_ms', lambda *args: None)
 
 
 @_ablation
 def _sample_without_proof():
-    """Take the places of whoever takes a guard for samples."""
+    """Use the log position of any upstream that accepts BEGIN as a sample."""
 
-    def settle(state):
+    def apply_without_proof(state):
         while state.pending_samples:
             freshness.add_sample(state, state.pending_samples.popleft())
 
-    return mock.patch.object(proofs, 'apply_proof', settle)
+    return mock.patch.object(proofs, 'apply_proof', apply_without_proof)
 
 
 @_ablation
 def _witness_beside_another_claim():
-    """Ask witnesses of the lead although another claims it."""
+    """Accept witnesses of the leadership although another claims it."""
     return mock.patch.object(proofs, 'claims_to_lead', lambda upstream: False)
 
 
 @_ablation
 def _proof_of_whoever_leads_now():
-    """Judge an answer by the lead of another upstream."""
-    done = completion.answer_success
+    """Accept an answer on the leadership proof of another upstream."""
+    answer_success = completion.answer_success
 
-    def careless(state, work, connection, reply, needs_ms=None):
+    def answer_on_any_proof(state, work, connection, reply, needs_ms=None):
         if needs_ms is not None and needs_ms <= proofs.proven_until_ms(state):
             needs_ms = None
-        return done(state, work, connection, reply, needs_ms)
+        return answer_success(state, work, connection, reply, needs_ms)
 
-    return mock.patch.object(completion, 'answer_success', careless)
+    return mock.patch.object(completion, 'answer_success', answer_on_any_proof)
 
 
 @_ablation
 def _take_one_born_again_for_itself():
-    """Believe that one that began again holds what it held before."""
-    come = membership.handle_upstream_list
+    """Assume that a recreated upstream still has its previous log."""
+    handle_list = membership.handle_upstream_list
 
-    def unborn(state, now_ms, message):
+    def ignore_born_ms(state, now_ms, message):
         upstreams = tuple(
             dataclasses.replace(entry, born_ms=0)
             for entry in message.upstreams
         )
-        return come(state, now_ms, messages.UpstreamsSeen(upstreams))
+        return handle_list(state, now_ms, messages.UpstreamsSeen(upstreams))
 
-    return mock.patch.object(membership, 'handle_upstream_list', unborn)
+    return mock.patch.object(
+        membership, 'handle_upstream_list', ignore_born_ms
+    )
 
 
 @_ablation
 @_soon
 def _newest_sample_ignored():
-    """Let any replica serve, whatever it holds."""
+    """Let any replica serve reads, whatever its log position."""
     return mock.patch.object(
         freshness,
         'required_place',
@@ -135,20 +139,20 @@
 @_ablation
 @_soon
 def _forget_own_commit():
-    """Forget where a session's own commit is."""
+    """Drop the log position of a session's own commit."""
     finish = sessions.record_outcome
 
-    def forgetful(session, request, outcome):
+    def drop_position(session, request, outcome):
         finish(session, request, outcome)
         session.place = log_positions.ORIGIN
 
-    return mock.patch.object(sessions, 'record_outcome', forgetful)
+    return mock.patch.object(sessions, 'record_outcome', drop_position)
 
 
 @_ablation
 @_soon
 def _resend_writes():
-    """Send a write again whose answer was lost."""
+    """Resend a write whose reply was lost."""
     return mock.patch.object(
         completion, 'has_no_lasting_effect', lambda work: True
     )
@@ -156,9 +160,9 @@
 
 @_ablation
 def _promote_without_pause():
-    """Choose by what replicas report while they still receive."""
+    """Choose a successor from reports of replicas that are not paused."""
     return mock.patch.object(
-        worlds.Simulation,
+        simulation.Simulation,
         'pause',
         lambda self, wire, member, command: self.ok(
             wire,
@@ -171,7 +175,7 @@
 
 @_ablation
 def _promote_below_acknowledged():
-    """Promote the best of those that are listed, whatever it lacks."""
+    """Promote the best listed member, even without acknowledged writes."""
     return mock.patch.object(
         reply_effects, 'note_confirmed', lambda *args: None
     )
@@ -190,7 +194,7 @@
 
 @_ablation
 def _forget_departed():
-    """Promote as if a member that is gone had confirmed nothing."""
+    """Promote as if a departed member had confirmed no write."""
     return mock.patch.object(
         departed_members.DepartedMembers, 'may_exceed', lambda *args: []
     )
@@ -198,13 +202,13 @@
 
 @_ablation
 def _acknowledge_behind_a_partition():
-    """Wait for a confirmation behind a partition like anywhere else."""
+    """Wait for confirmations behind a partition as in normal operation."""
     return mock.patch.object(isolation, 'update', lambda *args: [])
 
 
 @_ablation
 def _pause_only_until_the_order():
-    """Let members that come or restart confirm while another takes over."""
+    """Let new or restarted members confirm during a takeover."""
     return mock.patch.object(
         promotion, '_stand_by', lambda state, now_ms, attempt: []
     )
@@ -212,14 +216,14 @@
 
 @_ablation
 def _fence_on_old_proof():
-    """Order the present primary on whatever proof was read last."""
+    """Order the present primary on a leadership proof of any age."""
     return mock.patch.object(promotion_lease, 'PROOF_MAX_AGE_MS', 10_000)
 
 
 @_ablation
 @_soon
 def _leave_what_names_a_connection():
-    """Forget a connection alone, not what runs on it."""
+    """Remove a connection without the records that refer to it."""
 
     def forget(state, connection):
         del state.connections[connection.number]
@@ -233,14 +237,14 @@
 @_ablation
 @_soon_through_entries
 def _leave_requests_of_lost_entries():
-    """Undo a withdrawn transaction, but not what waits for it."""
+    """Abort a withdrawn transaction, but not the requests that wait for it."""
     return mock.patch.object(completion, 'cancel', lambda state, work: [])
 
 
 @_ablation
 @_soon
 def _keep_foreign_values():
-    """Use a connection with the values of another session."""
+    """Use a connection with another session's variable values."""
 
     def adapt(connection, request):
         commands = []
@@ -254,7 +258,7 @@
 @_ablation
 @_soon
 def _callers_prepared_names():
-    """Prepare under the callers' own names, which collide."""
+    """Prepare statements under the callers' own names, which collide."""
 
     def prepare(session, statement):
         session.prepared[statement.name] = statements.Prepare(
--- a/topazring/core/synchronous/tests/failover_support.py
+++ b/topazring/core/synchronous/tests/failover_support.py
@@ -1,4 +1,4 @@
-"""Bring a core into the situations that promotions are for."""
+"""Bring a group's core into the states that lead to a promotion."""
 
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
@@ -9,7 +9,7 @@
 
 
 def make_lease_holder(**more) -> support.Driver:
-    """Return a calm group's core that holds the duty and has fenced."""
+    """Return a stable group's core with a fenced promotion lease."""
     driver = support.Driver().ready(**more)
     driver.post(messages.PromotionLeaseSeen(True, 100))
     for order in support.orders(
@@ -25,22 +25,22 @@
 
 
 def answer_control_commands(driver: support.Driver, **received: Place) -> list:
-    """Answer every pause, look and resume."""
+    """Answer every pause, status query and resume."""
     outs = []
     for connection in driver.busy():
         if connection.purpose is not states.Purpose.CONTROL:
             continue
         place = received.get(connection.upstream, Place(1, 5))
         command = connection.commands[0]
-        held = getattr(command, 'term', 0)
+        held_term = getattr(command, 'term', 0)
         outs += driver.reply(
-            connection, support.report(received=place, held_term=held)
+            connection, support.report(received=place, held_term=held_term)
         )
     return outs
 
 
 def lose_primary(driver: support.Driver) -> list:
-    """Have the primary refuse everything until a promotion begins."""
+    """Close all connections to the primary until a promotion begins."""
     outs = []
     for connection in list(driver.state.connections.values()):
         if connection.upstream == 'u1':
--- a/topazring/core/synchronous/tests/proof_support.py
+++ b/topazring/core/synchronous/tests/proof_support.py
@@ -1,4 +1,4 @@
-"""Answer the questions that prove, or disprove, a lead."""
+"""Answer the queries that prove or disprove leadership, for tests."""
 
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -9,7 +9,7 @@
 
 
 def answer_read(driver: support.Driver, key: int) -> list:
-    """Answer a read that runs at the primary, its guard as well."""
+    """Answer a read at the primary, including its leadership check."""
     connection = driver.running(key)
     return driver.reply(connection, support.ok('signed'))
 
@@ -17,7 +17,7 @@
 def answer_leadership_checks(
     driver: support.Driver, upstream: str, first: support.Reply
 ) -> list:
-    """Answer the guards at one upstream."""
+    """Answer the leadership checks at one upstream."""
     outs = []
     for connection in driver.busy(upstream):
         if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
@@ -29,7 +29,7 @@
 def answer_status_queries(
     driver: support.Driver, upstream: str, **report
 ) -> list:
-    """Answer the questions for an upstream's own word."""
+    """Answer the status queries at one upstream."""
     outs = []
     for connection in driver.busy(upstream):
         if connection.purpose is states.Purpose.STATUS_QUERY:
--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""Order those that claim to lead, and end the claim of the older."""
+"""Test the choice between upstreams that claim to lead.
+
+The one of the newer term becomes the primary, the other is demoted.
+"""
 
 import testtools
 
@@ -14,10 +17,10 @@
 
 
 class ClaimTest(testtools.TestCase):
-    """The newer term leads, whoever was heard last."""
+    """The newer term leads, whichever upstream replied last."""
 
     def rivals(self) -> support.Driver:
-        """Have a second upstream take transactions beside the primary."""
+        """Have a second upstream accept transactions beside the primary."""
         driver = support.Driver().ready()
         for _ in range(20):
             driver.tick(20)
@@ -29,11 +32,12 @@
         return driver
 
     def test_first_claim_holds_until_terms_are_known(self):
-        """Changing with each answer would send writes back and forth.
+        """Changing the primary with each reply would move writes around.
 
-        Symptom: four changes of the primary in 0.8 s. Sequence: a partition
-        ends; the old primary has not learned yet that it was replaced; both
-        take transactions. Cause: believing whoever was heard last.
+        Guards against four changes of the primary in 0.8 s. When a partition
+        ends, the old primary has not learned yet that it was replaced, and
+        both accept transactions. The last one to reply was taken for the
+        primary.
         """
         driver = self.rivals()
         self.assertEqual('u1', driver.state.primary)
@@ -47,7 +51,7 @@
         )
 
     def test_newer_term_leads_and_the_older_is_deposed(self):
-        """It would go on for a second, and hang what is written there."""
+        """It would otherwise lead for a second, and writes to it hang."""
         driver = self.rivals()
         proof_support.answer_status_queries(
             driver, 'u1', role=Role.PRIMARY, term=1
@@ -66,13 +70,13 @@
         )
 
     def test_replaced_primary_that_states_the_new_term(self):
-        """It has heard of its successor, and goes on for a second.
+        """It has learned of its successor, and steps down a second later.
 
-        Symptom: a read misses a save of two seconds before, right after a
-        partition has healed. Sequence: the old primary reaches its successor
-        and learns the new term, but does not step down yet; a replica that
-        follows the successor states the same term, and is taken for a
-        witness of the old one. Cause: taking a term for a lead.
+        Guards against a read that misses a write two seconds old, right after
+        a partition has healed. The old primary reaches its successor and
+        learns the new term, but does not step down yet; a replica of the
+        successor reports the same term and was taken for a witness of the old
+        primary. Reporting a term was taken for leading in it.
         """
         driver = support.Driver().ready()
         driver.now_ms += 20
@@ -108,8 +112,8 @@
             'u1', failover_support.command_targets(driver, statements.Demote)
         )
 
-    def test_list_that_is_late_does_not_bring_it_back(self):
-        """Its entry says what it believes, not what is."""
+    def test_outdated_list_does_not_reinstate_it(self):
+        """A list entry states its writer's view, which may be outdated."""
         driver = self.rivals()
         proof_support.answer_status_queries(
             driver, 'u1', role=Role.PRIMARY, term=1
@@ -121,12 +125,12 @@
         self.assertEqual('u2', driver.state.primary)
 
     def test_fence_waits_for_the_proof(self):
-        """An order for a replaced primary would bring it back.
+        """An order that names a replaced primary would reinstate it.
 
-        Symptom: acknowledged saves are gone after a partition. Sequence: a
-        proxy gains the duty on the side of a replaced primary, which takes
-        its guard; it orders that one, to outdo earlier orders. Cause: taking
-        the guard for a proof.
+        Guards against acknowledged writes lost after a partition. A proxy
+        gains the promotion lease on the side of a replaced primary, which
+        accepts its leadership check, and orders that primary in order to
+        fence earlier orders. The check was taken for a leadership proof.
         """
         driver = support.Driver().ready()
         driver.now_ms += 400
@@ -146,13 +150,13 @@
 class ReplacedMemberTest(testtools.TestCase):
     """A member that leads an older term does not end a promotion."""
 
-    def test_it_is_demoted_and_counts(self):
-        """It may hold all that was acknowledged.
+    def test_replaced_primary_is_demoted_and_its_report_counts(self):
+        """Its log may contain every acknowledged write.
 
-        Symptom: a group without a primary for a second or more. Sequence: a
-        primary is replaced; its successor crashes before the old one learned
-        of it; the old one answers the pause as a primary. Cause: ending the
-        attempt because another leads.
+        Guards against a group without a primary for a second or more. A
+        primary is replaced, its successor crashes before the old primary
+        learned of it, and the old one replies to the pause as a primary. The
+        attempt was ended because another upstream seemed to lead.
         """
         driver = failover_support.make_lease_holder()
         driver.state.term = 2
@@ -173,28 +177,28 @@
         )
         self.assertIsNotNone(driver.state.promotion)
 
-    def test_it_is_paused_as_well(self):
-        """A demoted member follows whoever leads, and confirms.
-
-        Symptom: an acknowledged write is gone after a hand-over. Sequence: a
-        primary is replaced while it is dark; its successor leaves, and hands
-        over to a third; the old one is back, answers the pause as a primary
-        and is demoted; it follows the leaving one and confirms a write, and
-        the third leads without it. Cause: the answer to the demotion was
-        taken for that of a paused replica. Proof, from walk 6473: 2236 ms u1
-        is demoted; 2238 ms u4 is ordered with u1 at 0.0; 2280 ms u1 says that
-        it holds 2.1, the write; 2368 ms u4 leads at 0.0.
+    def test_demoted_primary_is_paused_as_well(self):
+        """A demoted member follows the present leader and confirms writes.
+
+        Guards against an acknowledged write lost in a hand-over. A primary is
+        replaced while unresponsive, and its successor leaves and hands over to
+        a third member. The old primary returns, replies to the pause as a
+        primary and is demoted; it then follows the leaving member and confirms
+        a write, which the third member lacks. The reply to the demotion was
+        taken for that of a paused replica. In random walk 6473, u1 is demoted
+        at 2236 ms; u4 is ordered at 2238 ms with u1 at 0.0; u1 reports 2.1,
+        the write, at 2280 ms; u4 leads at 0.0 at 2368 ms.
         """
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
-        heir = driver.state.promotion.successor
-        (other,) = {'u2', 'u3'} - {heir}
+        successor = driver.state.promotion.successor
+        (other,) = {'u2', 'u3'} - {successor}
         driver.state.term = 2
-        asked = self.controlled(driver, other)
-        driver.reply(asked, support.report(role=Role.PRIMARY, term=1))
+        pausing = self.control_connection(driver, other)
+        driver.reply(pausing, support.report(role=Role.PRIMARY, term=1))
         driver.tick(20)
-        demoted = self.controlled(driver, other)
+        demoted = self.control_connection(driver, other)
         self.assertIsInstance(demoted.commands[0], statements.Demote)
         outs = driver.reply(demoted, support.report(term=1, held_term=0))
         outs += driver.tick(20)
@@ -203,10 +207,10 @@
             other, failover_support.command_targets(driver, statements.Pause)
         )
 
-    def controlled(
+    def control_connection(
         self, driver: support.Driver, name: str
     ) -> states.Connection:
-        """Return the connection with a step of a promotion under way."""
+        """Return the connection with a promotion command in flight."""
         (connection,) = [
             connection
             for connection in driver.busy(name)
--- a/topazring/core/synchronous/tests/test_confirmations.py
+++ b/topazring/core/synchronous/tests/test_confirmations.py
@@ -1,4 +1,4 @@
-"""Acknowledge what a member holds of whom every promotion hears."""
+"""Test that a write is acknowledged only once it is durable."""
 
 import testtools
 
@@ -14,85 +14,84 @@
 Place = support.Place
 WRITE = support.Verb.WRITE
 FOUR = ('u1', 'u2', 'u3', 'u4')
-# Where the primary's log ends with the write, and without it.
+# The end of the primary's log with the write, and without it.
 WITH = Place(1, 6)
 WITHOUT = Place(1, 5)
 
 
 def confirm(driver: support.Driver, key: int) -> list:
-    """Have the primary confirm a write."""
+    """Reply as the primary that a write is confirmed."""
     connection = driver.running(key)
     return driver.reply(connection, support.ok('signed', place=WITH))
 
 
 class BehindAPartitionTest(testtools.TestCase):
-    """One member is reached from both sides, the others from the far one."""
+    """One member is reachable from both sides, the others from the far one."""
 
-    def confirmed(self, **said) -> support.Driver:
+    def confirmed(self, **reported) -> support.Driver:
         """Have a write confirmed while `u2` and `u3` are silent.
 
-        `u1` leads here, and `u4` answers.
+        `u1` is the primary on this side, and `u4` replies.
         """
         driver = support.Driver().ready(names=FOUR)
         test_isolation.run_for(driver, 460, 'u1', 'u4')
         self.key, _ = driver.submit(verb=WRITE)
-        test_isolation.run_for(driver, 180, 'u1', 'u4', **said)
+        test_isolation.run_for(driver, 180, 'u1', 'u4', **reported)
         confirm(driver, self.key)
         return driver
 
     def outcome(self, driver: support.Driver) -> outcomes.Outcome | None:
-        """Return what the caller got, if anything."""
+        """Return the outcome sent to the caller, if any."""
         return support.answers(driver.outs).get(self.key)
 
-    def test_member_that_the_other_side_promotes(self):
-        """It answers here too, and that says nothing of who confirmed.
-
-        Symptom: a save that was acknowledged during a partition is gone after
-        it. Sequence: a leaving primary hands over; its successor is cut off
-        with three proxies from the two replicas that stay; the one that
-        leaves is reached from both sides, and the other side pauses it and
-        orders it to lead; a replica that nobody has listed starts beside the
-        cut off primary and confirms a save. Cause: one member that is reached
-        was taken for a proof that the others would confirm. Proof, from the
-        log: 32.446 s promotion begins, 32.448 s ordered with the leaving one
-        at 2.308; the save is sent at 32.427 s, confirmed at 32.625 s; the new
-        replica is listed at 32.648 s, the leaving one leads from 32.767 s on
-        without the save.
+    def test_member_that_is_promoted_on_the_other_side(self):
+        """That it replies does not show which replica confirmed the write.
+
+        Guards against a write that is acknowledged during a partition and lost
+        after it. A leaving primary hands over, and its successor is cut off
+        with three proxies from the two remaining replicas. The leaving member
+        is reachable from both sides; the other side pauses it and orders it to
+        lead. A replica that is not listed yet starts beside the cut-off
+        primary and confirms a write, which was acknowledged because one member
+        was reachable. In the log: write sent at 32.427 s, promotion begins at
+        32.446 s, ordered at 32.448 s with the leaving member at 2.308, write
+        confirmed at 32.625 s, new replica listed at 32.648 s, the leaving
+        member leads without the write from 32.767 s.
         """
         driver = self.confirmed(held_term=2)
         test_isolation.run_for(driver, 400, 'u1', 'u4', held_term=2)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_write_that_a_paused_member_holds(self):
-        """Who leads next may have been chosen before it held the write.
+    def test_write_in_the_log_of_a_paused_member(self):
+        """The successor may have been chosen before the member had the write.
 
-        A restart ends a pause, and the promoter pauses it again.
+        A restart ends a pause, and the promoting proxy pauses it again.
         """
         driver = self.confirmed(held_term=2)
-        said = {'held_term': 2, 'received': WITH}
-        test_isolation.run_for(driver, 400, 'u1', 'u4', **said)
+        reported = {'held_term': 2, 'received': WITH}
+        test_isolation.run_for(driver, 400, 'u1', 'u4', **reported)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_member_that_holds_it(self):
-        """Whoever promotes pauses that member and hears of the write."""
+    def test_member_that_has_the_write(self):
+        """A promoting proxy pauses that member and learns of the write."""
         driver = self.confirmed()
         self.assertIsNone(self.outcome(driver))
         test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_member_that_lacks_it_is_asked_again(self):
-        """It may receive the write a few ms after the one that confirmed."""
+    def test_member_that_lacks_the_write_is_queried_again(self):
+        """It may receive the write a few ms after the confirming replica."""
         driver = self.confirmed()
         test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITHOUT)
         self.assertIsNone(self.outcome(driver))
         test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_place_that_is_applied_later(self):
-        """A guard tells what a member has applied, not what it received.
+    def test_received_position_is_not_lowered_by_applied_position(self):
+        """A leadership check returns the applied position, not the received.
 
-        What would be wrong: a save that is unknown to its caller though a
-        member said that it holds it, for it said less a moment later.
+        Guards against an unknown outcome for a write that a member reported
+        in its log, because a later check returned a lower position.
         """
         driver = self.confirmed()
         driver.state.successor_gone = True
@@ -101,31 +100,31 @@
         test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsNone(self.outcome(driver))
         member = driver.state.upstreams['u4']
-        asked_ms = driver.now_ms
-        confirmations.note_log_position(member, asked_ms, WITHOUT)
+        queried_ms = driver.now_ms
+        confirmations.note_log_position(member, queried_ms, WITHOUT)
         driver.state.term_ended_ms = states.NEVER_MS
         driver.tick(20)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_primary_that_is_listed_no_more(self):
-        """Its entry may lapse while a write waits.
+    def test_primary_that_is_no_longer_listed(self):
+        """Its entry may expire while a write waits.
 
-        What would be wrong: a group that begins anew by a `KeyError`.
+        Guards against a `KeyError` that restarts the group.
         """
         driver = self.confirmed()
         driver.list_upstreams(primary='', names=('u2', 'u3', 'u4'))
         test_isolation.run_for(driver, 100, 'u4', received=WITH)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_log_of_a_newer_term_shows_nothing(self):
-        """Its places are higher, and the write may not be among them."""
+    def test_log_of_a_newer_term_proves_nothing(self):
+        """Its log position is higher, but its log may lack the write."""
         driver = self.confirmed()
-        said = {'received': Place(2, 9), 'term': 2}
-        test_isolation.run_for(driver, 100, 'u1', 'u4', **said)
+        reported = {'received': Place(2, 9), 'term': 2}
+        test_isolation.run_for(driver, 100, 'u1', 'u4', **reported)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
-    def test_member_that_has_just_come_shows_nothing(self):
-        """Whoever promotes may not know it."""
+    def test_new_member_proves_nothing(self):
+        """A promoting proxy may not have seen the member in the list."""
         driver = support.Driver().ready()
         driver.list_upstreams(names=FOUR, revision=2)
         driver.open_all()
@@ -143,36 +142,36 @@
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
 
-class CalmTest(testtools.TestCase):
-    """What a caller pays on an ordinary day."""
+class NormalOperationTest(testtools.TestCase):
+    """Delay until a write is acknowledged without any fault."""
 
-    def test_answered_at_the_first_word(self):
-        """Guards against waiting for more than one member that holds it."""
+    def test_acknowledged_after_the_first_report(self):
+        """Guards against waiting for more than one member with the write."""
         driver = support.Driver().ready()
         key, _ = driver.submit(verb=WRITE)
         driver.tick(20)
         driver.answer_leadership_checks()
         outs = confirm(driver, key)
         self.assertNotIn(key, support.answers(outs))
-        said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proof_support.answer_status_queries(driver, 'u2', **said)
+        reported = {'received': WITH, 'term': 1, 'held_term': 0}
+        outs = proof_support.answer_status_queries(driver, 'u2', **reported)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
-    def test_members_are_asked_as_the_write_is_confirmed(self):
-        """Guards against callers who wait for a tick, or for one member."""
+    def test_members_are_queried_when_the_write_is_confirmed(self):
+        """Guards against a wait for a tick, or for one particular member."""
         driver = support.Driver().ready()
         driver.tick(20)
         key, _ = driver.submit(verb=WRITE)
         confirm(driver, key)
-        asked = {
+        queried = {
             connection.upstream
             for connection in driver.busy()
             if connection.commands == exchanges.STATUS_QUERY
         }
-        self.assertEqual({'u2', 'u3'}, asked)
+        self.assertEqual({'u2', 'u3'}, queried)
 
-    def test_members_are_asked_again_for_the_next_write(self):
-        """Guards against a write that waits for an answer to another's."""
+    def test_members_are_queried_again_for_the_next_write(self):
+        """Guards against a write that waits for a query for another write."""
         driver = support.Driver().ready()
         first, _ = driver.submit(verb=WRITE)
         second, _ = driver.submit(verb=WRITE)
@@ -180,20 +179,20 @@
         driver.now_ms += 1
         later = driver.running(second)
         driver.reply(later, support.ok('signed', place=Place(1, 7)))
-        asked = [
+        queries = [
             c
             for c in driver.busy('u2')
             if c.commands == exchanges.STATUS_QUERY
         ]
-        self.assertEqual(2, len(asked))
-        said = {'received': WITH, 'term': 1, 'held_term': 0}
-        proof_support.answer_status_queries(driver, 'u2', **said)
+        self.assertEqual(2, len(queries))
+        reported = {'received': WITH, 'term': 1, 'held_term': 0}
+        proof_support.answer_status_queries(driver, 'u2', **reported)
         answered = support.answers(driver.outs)
         self.assertIsInstance(answered[first], outcomes.Done)
         self.assertNotIn(second, answered)
 
     def test_write_at_the_beginning_of_a_partition(self):
-        """Nothing was heard since it was sent, so somebody has to vouch."""
+        """No reply arrived since it was sent, so a member must report it."""
         driver = support.Driver().ready()
         driver.tick(20)
         key, _ = driver.submit(verb=WRITE)
@@ -202,7 +201,7 @@
         self.assertNotIn(key, support.answers(outs))
 
     def test_one_replica_is_down(self):
-        """The other's word is waited for: one question, one answer."""
+        """The write waits for the other replica: one query, one reply."""
         driver = support.Driver().ready()
         driver.tick(20)
         key, _ = driver.submit(verb=WRITE)
@@ -214,8 +213,8 @@
         )
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
-    def test_commit_is_asked_for_as_well(self):
-        """A transaction that wrote is a write."""
+    def test_commit_is_queried_like_a_write(self):
+        """The COMMIT of a transaction that wrote counts as a write."""
         driver = support.Driver().ready()
         begin, _ = driver.submit(
             verb=WRITE, transaction=7, begins=True, writes=True
@@ -232,16 +231,16 @@
         driver.tick(20)
         outs = driver.reply(connection, support.ok('signed', place=WITH))
         self.assertNotIn(commit, support.answers(outs))
-        said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proof_support.answer_status_queries(driver, 'u3', **said)
+        reported = {'received': WITH, 'term': 1, 'held_term': 0}
+        outs = proof_support.answer_status_queries(driver, 'u3', **reported)
         self.assertIsInstance(support.answers(outs)[commit], outcomes.Done)
 
 
 class HandOverTest(testtools.TestCase):
-    """A leaving primary's heir confirms while the others are paused."""
+    """A leaving primary's successor confirms while the others are paused."""
 
-    def test_paused_others_say_nothing(self):
-        """The heir is the only one that can confirm, and it will lead."""
+    def test_paused_members_do_not_prevent_acknowledgement(self):
+        """Only the successor can confirm the write, and it will lead."""
         driver = support.Driver().ready(names=FOUR)
         driver.list_upstreams(names=FOUR, leaving='u1')
         test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3')
@@ -259,10 +258,10 @@
 
 
 class RefusalTest(testtools.TestCase):
-    """Where no confirmation can be trusted no write is begun."""
+    """Writes are refused while no confirmation can be shown durable."""
 
-    def test_waits_where_the_primary_is_lost(self):
-        """The next one is expected in its time; others are no better off."""
+    def test_write_waits_when_the_primary_is_lost(self):
+        """The next primary is expected in time, and other proxies wait too."""
         driver = support.Driver().ready(names=FOUR)
         driver.tick(20)
         first, _ = driver.submit(verb=WRITE)
@@ -272,10 +271,10 @@
         second, outs = driver.submit(verb=WRITE)
         self.assertNotIn(second, support.answers(outs))
 
-    def test_next_primary_takes_writes_at_once(self):
-        """What waited at the one before it says nothing of it.
+    def test_next_primary_accepts_writes_at_once(self):
+        """Writes that stalled at the previous primary do not count.
 
-        What would be wrong: half a second without saves after a failover.
+        Guards against half a second without writes after a failover.
         """
         driver = support.Driver().ready(names=FOUR)
         test_isolation.run_for(driver, 460, 'u1', 'u4')
@@ -291,7 +290,7 @@
         self.assertNotIn(second, support.answers(outs))
 
     def test_refused_before_it_runs(self):
-        """Its caller reaches the other side through another proxy."""
+        """Its caller can reach the other side through another proxy."""
         driver = support.Driver().ready(names=FOUR)
         test_isolation.run_for(driver, 460, 'u1', 'u4')
         first, _ = driver.submit(verb=WRITE)
--- a/topazring/core/synchronous/tests/test_failure_detection.py
+++ b/topazring/core/synchronous/tests/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""Tell a lost primary from everything that looks like one."""
+"""Test that a lost primary is told apart from similar symptoms."""
 
 import testtools
 
@@ -12,15 +12,15 @@
 Place = support.Place
 
 
-class EvidenceTest(testtools.TestCase):
-    """Only a primary that is lost counts as lost."""
+class FailureDetectionTest(testtools.TestCase):
+    """A primary counts as lost only if it is."""
 
-    def test_one_silent_connection_condemns_itself(self):
-        """Others answer, so the primary lives.
+    def test_one_silent_connection_is_no_loss(self):
+        """Other connections are answered, so the primary is alive.
 
-        Symptom: a promotion on a day without a loss. Sequence: something
-        between the ends forgets one connection; it is silent for good.
-        Cause: silence on one connection taken for the upstream's.
+        Guards against a promotion without a loss: a device on the path drops
+        the state of one connection, which stays silent for good. The silence
+        of one connection was taken for that of the upstream.
         """
         driver = failover_support.make_lease_holder()
         silent = next(
@@ -39,7 +39,7 @@
         self.assertEqual('u1', driver.state.primary)
 
     def test_own_pause_is_not_silence(self):
-        """All probes of a process that stood still are overdue."""
+        """All probes of a process that resumes after a pause are overdue."""
         driver = failover_support.make_lease_holder()
         driver.tick(120)
         driver.now_ms += 900
@@ -48,7 +48,7 @@
         self.assertIsNone(driver.state.promotion)
 
     def test_full_connections_are_not_silence(self):
-        """An upstream at its connection limit lives."""
+        """An upstream at its connection limit is alive."""
         driver = support.Driver()
         driver.list_upstreams()
         driver.post(messages.PromotionLeaseSeen(True, 100))
@@ -61,10 +61,10 @@
 
 
 class UnconfirmedTest(testtools.TestCase):
-    """A primary that answers, but whose replicas do not follow."""
+    """A primary that answers, but whose replicas do not follow it."""
 
-    def standing(self, received: Place) -> support.Driver:
-        """Have a primary go on to 1.9 while replicas are seen at 1.5."""
+    def replicas_behind(self, received: Place) -> support.Driver:
+        """Have a primary advance to 1.9 while replicas report 1.5."""
         driver = failover_support.make_lease_holder()
         for _ in range(50):
             driver.tick(20)
@@ -79,39 +79,38 @@
             driver, u1=Place(1, 9), u2=received, u3=received
         )
         driver.answer_leadership_checks(primary='')
-        # Members whose connections were at work are asked by the next tick.
+        # Members whose connections were busy are queried by the next tick.
         driver.tick(20)
         return driver
 
     def test_cut_off_from_its_replicas(self):
-        """It is demoted before anyone follows it.
+        """It is demoted before a successor is promoted.
 
-        Symptom: saves hang until their deadline for five seconds. Sequence:
-        a primary loses its replicas and goes on answering; nothing that it
-        takes is confirmed. Cause: taking an answer for a sign of health.
+        Guards against writes that hang until their deadline for five seconds.
+        A primary loses its replicas and keeps answering, but none of its
+        writes is confirmed. A reply was taken for a sign of health.
         """
-        driver = self.standing(Place(1, 5))
+        driver = self.replicas_behind(Place(1, 5))
         self.assertEqual(
             {'u1'}, failover_support.command_targets(driver, statements.Demote)
         )
 
     def test_replicas_that_apply_late(self):
-        """They received everything, so nothing is wrong with the primary."""
-        driver = self.standing(Place(1, 9))
+        """They have received all entries, so the primary works."""
+        driver = self.replicas_behind(Place(1, 9))
         self.assertEqual(
             set(), failover_support.command_targets(driver, statements.Demote)
         )
         self.assertIsNone(driver.state.promotion)
 
     def test_unconfirmed_tail_does_not_count(self):
-        """What only the demoted primary holds was acknowledged to nobody.
+        """Writes that only the demoted primary has were not acknowledged.
 
-        Symptom: a second promotion right after the first. Sequence: a cut
-        off primary is demoted with writes that nobody confirmed; a replica
-        is ordered to lead; it lacks those. Cause: comparing it with the one
-        that it replaces.
+        Guards against a second promotion right after the first. A primary that
+        is cut off is demoted with unconfirmed writes, and the replica ordered
+        to lead lacks these. It was compared with the primary that it replaces.
         """
-        driver = self.standing(Place(1, 5))
+        driver = self.replicas_behind(Place(1, 5))
         outs = failover_support.answer_control_commands(
             driver, u1=Place(1, 9), u2=Place(1, 5), u3=Place(1, 5)
         )
--- a/topazring/core/synchronous/tests/test_proofs.py
+++ b/topazring/core/synchronous/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""Answer no read before it is proved that nobody else led."""
+"""Test that no read is answered without a leadership proof."""
 
 import testtools
 
@@ -16,23 +16,22 @@
 
 
 class ReadTest(testtools.TestCase):
-    """A read at the primary waits for the proof, not the other way round."""
+    """A read at the primary runs at once and waits for a leadership proof."""
 
     def running(self, **more) -> tuple[support.Driver, int]:
-        """Have a read run at the primary a while after the last proof."""
+        """Start a read at the primary, some time after the last proof."""
         driver = support.Driver().ready(**more)
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT)
         return driver, key
 
     def test_replaced_primary_goes_on_answering(self):
-        """Its guard succeeds, and its answer is not given to anyone.
+        """The leadership check succeeds, but the read is not answered.
 
-        Symptom: a checker reads the beam size of before the last save, on
-        one side of a partition. Sequence: a primary is cut off with some
-        proxies; another is promoted and acknowledges a save; the first has
-        not learned of it, takes a BEGIN and runs the read. Cause: taking a
-        BEGIN that succeeds for a proof that nobody else leads.
+        Guards against stale reads on one side of a partition. A primary is
+        cut off with some proxies and another is promoted, which acknowledges
+        a write; the old primary has not learned of it, accepts BEGIN and runs
+        the read. A successful BEGIN was taken for a leadership proof.
         """
         driver, key = self.running()
         outs = proof_support.answer_read(driver, key)
@@ -45,7 +44,7 @@
         self.assertNotIn(key, support.answers(outs))
 
     def test_answered_once_all_others_refuse(self):
-        """Neither led after the read had arrived."""
+        """No other member led after the read arrived."""
         driver, key = self.running()
         outs = proof_support.answer_read(driver, key)
         outs += proof_support.answer_leadership_checks(
@@ -57,8 +56,8 @@
         )
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
-    def test_refusal_of_before_proves_nothing(self):
-        """A promotion may have taken effect since."""
+    def test_older_refusal_proves_nothing(self):
+        """A promotion may have completed after an older refusal."""
         driver, key = self.running()
         sent_ms = driver.now_ms - 1
         for name in ('u2', 'u3'):
@@ -66,23 +65,23 @@
         outs = proof_support.answer_read(driver, key)
         self.assertNotIn(key, support.answers(outs))
 
-    def test_questions_are_shared(self):
-        """Reads that arrive together ask each member once."""
+    def test_leadership_checks_are_shared(self):
+        """Reads that arrive together send one check to each member."""
         driver = support.Driver(share=4).ready()
         driver.now_ms += 20
         sends = []
         for _ in range(3):
             _, outs = driver.submit(support.EXACT)
             sends += support.sends(outs)
-        asked = [
+        queried = [
             driver.state.connections[send.connection].upstream
             for send in sends
             if isinstance(send.commands[-1], statements.Rollback)
         ]
-        self.assertEqual(['u2', 'u3'], sorted(asked))
+        self.assertEqual(['u2', 'u3'], sorted(queried))
 
     def test_read_in_a_transaction_waits_as_well(self):
-        """It has to see what was acknowledged before its transaction."""
+        """It must see the writes acknowledged before its transaction."""
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT, transaction=7, begins=True)
@@ -97,13 +96,13 @@
         )
         self.assertIn(key, support.answers(outs))
 
-    def test_proof_of_another_primary_is_none(self):
-        """The read ran at the one that was replaced.
+    def test_proof_of_another_primary_does_not_count(self):
+        """A proof for the successor does not cover a read at the old primary.
 
-        Symptom: a read misses a save that was acknowledged 300 ms before.
-        Sequence: a read is sent to a primary; its successor is found and its
-        lead is proved; the read's answer arrives. Cause: asking whether the
-        present primary's lead is proved, whoever had served the read.
+        Guards against a read that misses a write acknowledged 300 ms before:
+        a read is sent to a primary, its successor is found and the
+        successor's leadership is proved before the reply arrives. The proof
+        of the present primary was used for a read at another upstream.
         """
         driver, key = self.running()
         for name in ('u1', 'u3'):
@@ -116,7 +115,7 @@
         self.assertNotIn(key, support.answers(outs))
 
     def test_write_needs_no_proof(self):
-        """Guards against waiting for a proof where one member holds it."""
+        """Guards against waiting for a proof when a member has the write."""
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
@@ -128,10 +127,10 @@
         )
         self.assertIn(key, support.answers(outs))
 
-    def test_confirmed_write_proves_the_lead_for_reads_before_it(self):
-        """It was sent after the read had arrived, and one that vouches has it.
+    def test_confirmed_write_proves_leadership_for_earlier_reads(self):
+        """The write was sent after the read; an established member has it.
 
-        The others' silence alone leaves the lead unproved.
+        With the other members silent the leadership is unproven otherwise.
         """
         driver, key = self.running(names=('u1', 'u2', 'u3', 'u4'))
         outs = proof_support.answer_read(driver, key)
@@ -147,11 +146,11 @@
         )
         self.assertIn(key, support.answers(outs))
 
-    def test_refused_at_once_where_nothing_can_be_proved(self):
+    def test_refused_at_once_while_unproven(self):
         """Another proxy may reach the other members.
 
-        Symptom: reads wait for their whole time behind a partition. Cause:
-        waiting for a proof that is not to be had.
+        Guards against reads that wait until their deadline behind a
+        partition, for a proof that cannot be obtained there.
         """
         driver, key = self.running()
         outs = proof_support.answer_read(driver, key)
@@ -166,8 +165,8 @@
         self.assertIs(outcomes.Reason.UNPROVEN, refusal.reason)
         self.assertGreater(refusal.retry_after_ms, 0)
 
-    def test_doubt_ends_with_the_next_proof(self):
-        """Reads are taken again once all members are heard."""
+    def test_unproven_state_ends_with_the_next_proof(self):
+        """Reads are accepted again once all members have replied."""
         driver, _ = self.running()
         for _ in range(20):
             driver.tick(20)
@@ -180,10 +179,10 @@
 
 
 class WitnessTest(testtools.TestCase):
-    """One replica speaks for the group while another is silent."""
+    """One replica is the witness of the leadership while another is silent."""
 
     def silent(self) -> tuple[support.Driver, int]:
-        """Have a read wait for a member that does not answer."""
+        """Have a read wait for a member that does not reply."""
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT)
@@ -195,18 +194,18 @@
         return driver, key
 
     def test_replica_of_the_same_term(self):
-        """The silent one, should it lead, finds nobody to confirm."""
+        """If the silent member leads, no replica can confirm its writes."""
         driver, key = self.silent()
         outs = proof_support.answer_status_queries(driver, 'u2', held_term=0)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
-    def test_replica_that_is_deaf_speaks_as_well(self):
-        """It follows nobody, so it confirms nothing to anyone else.
+    def test_replica_that_receives_nothing_is_a_witness(self):
+        """A replica that receives nothing confirms no other primary's writes.
 
-        Symptom: reads at a new primary are refused for 1.5 s after its
-        promotion. Sequence: a replica that receives nothing; the primary
-        crashes, the other replica follows; the deaf one still states the
-        old term. Cause: demanding that it be of the primary's own term.
+        Guards against reads refused for 1.5 s after a promotion. One replica
+        receives nothing, the primary crashes and is replaced by the other;
+        the first still reports the old term. A witness was required to be of
+        the primary's own term.
         """
         driver, key = self.silent()
         driver.state.upstreams['u1'].lead_term = 2
@@ -216,8 +215,8 @@
         )
         self.assertIn(key, support.answers(outs))
 
-    def only_one_answers(self, name: str) -> tuple[support.Driver, int]:
-        """Have a read wait after a fourth member came; one member answers."""
+    def only_one_replies(self, name: str) -> tuple[support.Driver, int]:
+        """Have a read wait after a fourth member joined; one replies."""
         driver = support.Driver().ready()
         driver.list_upstreams(names=('u1', 'u2', 'u3', 'u4'), revision=2)
         driver.open_all()
@@ -230,67 +229,66 @@
         driver.tick(member_queries.SILENT_MS + 20)
         return driver, key
 
-    def test_two_silent_members(self):
-        """One may lead and the other confirm."""
-        driver, key = self.only_one_answers('u2')
+    def test_two_silent_members_prevent_a_proof(self):
+        """One of them may lead and the other confirm its writes."""
+        driver, key = self.only_one_replies('u2')
         outs = proof_support.answer_status_queries(driver, 'u2', held_term=0)
         self.assertNotIn(key, support.answers(outs))
 
-    def test_replica_of_a_newer_term_speaks_against_it(self):
-        """Another leads."""
+    def test_replica_of_a_newer_term_is_no_witness(self):
+        """A newer term shows that another upstream leads."""
         driver, key = self.silent()
         outs = proof_support.answer_status_queries(
             driver, 'u2', held_term=0, term=2
         )
         self.assertNotIn(key, support.answers(outs))
 
-    def test_replica_that_has_just_come_speaks_for_nobody(self):
-        """It came to the side of a primary that was being replaced.
+    def test_new_replica_is_no_witness(self):
+        """It joined on the side of a primary that was being replaced.
 
-        Symptom: a read misses a save that was acknowledged on the other side
-        of a partition. Sequence: a primary is cut off with some proxies and
-        replaced; a new replica joins it there, is not paused by anyone, and
-        says so. Cause: taking one for a witness that whoever promoted did
-        not know.
+        Guards against a read that misses a write acknowledged on the other
+        side of a partition. A primary is cut off with some proxies and
+        replaced; a new replica joins it there, and is not paused by any proxy.
+        A member that the promoting proxy had not seen was taken for a witness.
         """
-        driver, key = self.only_one_answers('u4')
+        driver, key = self.only_one_replies('u4')
         outs = proof_support.answer_status_queries(driver, 'u4', held_term=0)
         self.assertNotIn(key, support.answers(outs))
 
     def replaced(self, witness_term: int) -> outcomes.Outcome | None:
-        """Have a read wait at the successor of a primary that went dark."""
+        """Have a read wait at the successor of an unresponsive primary."""
         driver = support.Driver().ready()
         for _ in range(proofs.ESTABLISHED_AFTER_MS // 20 + 20):
             driver.tick(20)
             driver.answer_leadership_checks()
         driver.list_upstreams(primary='u2', revision=2)
         for _ in range(80):
-            self.answer_but_the_dark_one(driver, Place(1, 5), witness_term)
+            self.answer_reachable_members(driver, Place(1, 5), witness_term)
         self.assertEqual('u2', driver.state.primary)
         driver.submit(support.EXACT, Verb.WRITE)
         (write,) = [c for c in driver.busy('u2') if c.is_writing]
         driver.reply(write, support.ok('signed', place=Place(2, 6)))
         for _ in range(member_queries.WITNESS_SAMPLE_INTERVAL_MS // 20 + 5):
-            self.answer_but_the_dark_one(driver, Place(2, 6), witness_term)
+            self.answer_reachable_members(driver, Place(2, 6), witness_term)
         key, outs = driver.submit(support.EXACT)
         for _ in range(10):
             for connection in driver.busy('u2'):
                 if connection.work == key:
                     read = support.ok('signed', place=Place(2, 6))
                     outs += driver.reply(connection, read)
-            outs += self.answer_but_the_dark_one(
+            outs += self.answer_reachable_members(
                 driver, Place(2, 6), witness_term
             )
         return support.answers(outs).get(key)
 
-    def answer_but_the_dark_one(
+    def answer_reachable_members(
         self, driver: support.Driver, place: Place, witness_term: int
     ) -> list:
-        """Answer what u2, which leads, and u3 are asked; u1 is dark."""
+        """Answer queries to u2, the primary, and u3; u1 does not respond."""
         outs = driver.tick(20)
         for connection in list(driver.state.connections.values()):
-            dialled = connection.phase is states.Phase.OPENING
-            if dialled and connection.upstream != 'u1':
+            is_dialled = connection.phase is states.Phase.OPENING
+            if is_dialled and connection.upstream != 'u1':
                 outs += driver.post(messages.Opened(connection.number, place))
         outs += proof_support.answer_leadership_checks(
             driver, 'u2', support.ok(place=place)
@@ -305,30 +303,29 @@
             driver, 'u3', held_term=0, term=witness_term
         )
 
-    def test_replica_that_follows_the_successor_of_a_dark_primary(self):
-        """The dark one took the last BEGIN that it was asked for.
+    def test_replica_of_the_successor_of_an_unresponsive_primary(self):
+        """The unresponsive primary accepted the last BEGIN sent to it.
 
-        Symptom: after a primary crashed and was replaced within 0.7 s, its
-        group's reads at the primary are refused as unproven for another 5 s.
-        Sequence: the primary goes dark; another is promoted, and the third
-        member follows it; the dark one never refuses a BEGIN, so it counts as
-        one that claims to lead until it is listed no more. Cause: beside a
-        claim no witness was heard. Proof: 1,046 refusals from second 11.6 to
-        16.3 at eight owners, with one dark member of three.
+        Guards against reads refused as unproven for another 5 s after a
+        primary crashed and was replaced within 0.7 s. The crashed primary
+        never refuses a BEGIN, so it counts as claiming to lead until its entry
+        expires, and no witness was accepted beside such a claim. With one
+        unresponsive member of three, eight owners refused 1,046 reads between
+        seconds 11.6 and 16.3.
         """
         answer = self.replaced(witness_term=2)
         self.assertIsInstance(answer, outcomes.Done)
 
-    def test_replica_that_may_follow_the_dark_one(self):
-        """It states the old term: it may still confirm the old one's writes.
+    def test_replica_that_may_follow_the_unresponsive_primary(self):
+        """It reports the old term and may still confirm the old writes.
 
-        The old primary may be on the other side of a partition, not dark.
+        The old primary may be behind a partition rather than crashed.
         """
         answer = self.replaced(witness_term=1)
         self.assertNotIsInstance(answer, outcomes.Done)
 
-    def test_nobody_is_asked_for_a_sample_that_is_young(self):
-        """Each question takes a slot."""
+    def test_no_status_query_while_the_sample_is_recent(self):
+        """Each status query takes a slot."""
         driver = support.Driver().ready()
         outs = []
         for _ in range(20):
@@ -337,26 +334,25 @@
             proof_support.answer_leadership_checks(
                 driver, 'u2', proof_support.REFUSED
             )
-        looks = [
+        status_queries = [
             send
             for send in support.sends(outs)
             if isinstance(send.commands[0], statements.Status)
         ]
-        self.assertEqual([], looks)
+        self.assertEqual([], status_queries)
 
 
 class StartTest(testtools.TestCase):
-    """Where no primary is known there is nothing to prove."""
+    """While no primary is known there is no leadership to prove."""
 
     def test_reads_wait_for_the_first_primary(self):
         """Upstreams enter the list one after the other after an outage.
 
-        Symptom: 800 reads are refused in the two seconds after the store of
-        the platform is back, in vain tries at one proxy after the other.
-        Sequence: all processes ended during the outage, and all entries
-        lapsed; the first entry that is back is a replica's. Cause: taking a
-        group whose primary is not listed yet for one whose primary cannot be
-        proved to lead.
+        Guards against 800 reads refused, at one proxy after the other, in the
+        two seconds after the platform's store is back. All processes ended
+        during the outage and all entries expired, and a replica is listed
+        first. A group whose primary is not listed yet was treated as one
+        whose primary cannot be proved to lead.
         """
         driver = support.Driver()
         driver.list_upstreams(primary='', names=('u2',))
@@ -370,8 +366,8 @@
             proofs.is_leadership_unproven(driver.state, driver.now_ms)
         )
 
-    def test_nobody_is_asked_for_a_witness_without_a_primary(self):
-        """It would take slots for nothing, fifty times a second."""
+    def test_no_status_query_without_a_primary(self):
+        """The query would occupy slots fifty times a second to no effect."""
         driver = support.Driver()
         driver.list_upstreams(primary='', names=('u2', 'u3'))
         driver.open_all()
@@ -379,9 +375,9 @@
         for _ in range(20):
             driver.tick(20)
             driver.answer_leadership_checks(primary='')
-        looks = [
+        status_queries = [
             send
             for send in support.sends(driver.outs)
             if isinstance(send.commands[0], statements.Status)
         ]
-        self.assertEqual([], looks)
+        self.assertEqual([], status_queries)
