--- a/topazring/core/synchronous/isolation.py
+++ b/topazring/core/synchronous/isolation.py
@@ -38,7 +38,7 @@
         )
         state.isolated_with = ''
         return [decided]
-    if state.isolated_with or not _begins(state, now_ms):
+    if state.isolated_with or not _is_starting(state, now_ms):
         return []
     state.isolated_with = state.primary
     state.isolated_since_ms = now_ms
@@ -55,7 +55,7 @@
     return since_ms is not None and now_ms - since_ms >= PROBE_AFTER_MS
 
 
-def _begins(state: states.GroupState, now_ms: int) -> bool:
+def _is_starting(state: states.GroupState, now_ms: int) -> bool:
     if not state.primary or not confirmations.are_replicas_unreachable(
         state, now_ms
     ):
--- a/topazring/core/synchronous/member_replies.py
+++ b/topazring/core/synchronous/member_replies.py
@@ -40,15 +40,19 @@
     if isinstance(command, statements.Pause):
         if command.term != attempt.term:
             return []
-        return _paused(state, now_ms, attempt, connection, reply.report)
+        return _handle_pause_reply(
+            state, now_ms, attempt, connection, reply.report
+        )
     if isinstance(command, statements.Demote):
-        return _demoted(state, now_ms, attempt, name, reply.report)
+        return _handle_demotion_reply(
+            state, now_ms, attempt, name, reply.report
+        )
     if name == attempt.successor or attempt.is_query_only:
         attempts.record_report(attempt, now_ms, name, reply.report)
     return promotion.advance(state, now_ms, attempt)
 
 
-def _paused(
+def _handle_pause_reply(
     state: states.GroupState,
     now_ms: int,
     attempt: attempts.Attempt,
@@ -112,7 +116,7 @@
     return [messages.LogDecision('member paused', inputs=inputs)]
 
 
-def _demoted(
+def _handle_demotion_reply(
     state: states.GroupState,
     now_ms: int,
     attempt: attempts.Attempt,
--- a/topazring/core/synchronous/primary_availability.py
+++ b/topazring/core/synchronous/primary_availability.py
@@ -92,9 +92,9 @@
     return confirmations.is_acknowledgement_stalled(state, now_ms)
 
 
-def note_outage(state: states.GroupState, gap_ms: int) -> None:
+def note_outage(state: states.GroupState, outage_ms: int) -> None:
     """Update the average outage duration with an outage that ended."""
-    gap_ms = min(MAX_OUTAGE_MS, max(MIN_OUTAGE_MS, gap_ms))
+    outage_ms = min(MAX_OUTAGE_MS, max(MIN_OUTAGE_MS, outage_ms))
     state.typical_outage_ms += (
-        gap_ms - state.typical_outage_ms
+        outage_ms - state.typical_outage_ms
     ) * OUTAGE_WEIGHT
--- a/topazring/core/synchronous/proofs.py
+++ b/topazring/core/synchronous/proofs.py
@@ -152,7 +152,7 @@
 
 
 def _mark_established(state: states.GroupState, proven_ms: int) -> None:
-    """Mark members as established that were listed before the last proof."""
+    """Mark members listed ESTABLISHED_AFTER_MS before the last proof."""
     for upstream in state.upstreams.values():
         if (
             not upstream.is_established
