--- a/topazring/core/synchronous/isolation.py
+++ b/topazring/core/synchronous/isolation.py
@@ -1,7 +1,7 @@
 """Detect that this proxy is partitioned together with the primary.
 
-On the minority side of a partition a primary keeps answering, but none of its
-writes is confirmed, while another upstream is promoted on the other side. A
+Behind a partition a primary keeps answering, but none of its writes is
+confirmed, while another upstream is promoted on the other side. A
 replica that joins the old primary at this time would confirm its writes. They
 would be acknowledged to callers and then lost with the old primary: the next
 primary would lack acknowledged writes.
--- a/topazring/core/synchronous/tests/test_failure_detection.py
+++ b/topazring/core/synchronous/tests/test_failure_detection.py
@@ -18,9 +18,9 @@
     def test_one_silent_connection_is_no_loss(self):
         """Other connections are answered, so the primary is alive.
 
-        Guards against a promotion without a loss: a device on the path drops
-        the state of one connection, which stays silent for good. The silence
-        of one connection was taken for that of the upstream.
+        Guards against a promotion without a loss: something on the
+        path loses one connection, which stays silent for good. The silence of
+        one connection was taken for that of the upstream.
         """
         driver = failover_support.make_lease_holder()
         silent = next(
