--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -1,9 +1,9 @@
-"""Give each request its one final answer, or put it back in line.
+"""Complete requests: answer each exactly once, or put it back in its queue.
 
-What a caller may be told follows from what was sent. A read keeps nothing
-whatever became of it, and a transaction keeps nothing until its COMMIT was
-sent, for its connection is closed. A single write or a COMMIT that was sent
-and not answered may have taken effect; it is never sent again.
+The outcome depends on what was sent to an upstream. A read never has a
+lasting effect. A transaction has none before its COMMIT is sent, because
+closing its connection rolls it back. A single write or a COMMIT that was
+sent and not answered may have taken effect, so it is never sent again.
 """
 
 from topazring.core import outcomes
@@ -19,15 +19,15 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
+    'acknowledge_when_durable',
     'answer',
     'answer_proven',
-    'cancel',
-    'acknowledge_when_durable',
     'answer_success',
+    'cancel',
     'end_transaction',
+    'enqueue',
     'give_up',
     'has_no_lasting_effect',
-    'enqueue',
     'may_have_run',
     'requeue',
     'unserved_outcome',
@@ -35,13 +35,13 @@
 
 Reason = outcomes.Reason
 
-# When a caller whose request found the line full may come back: a line
-# moves on by its whole length in about that time.
+# Retry delay for requests refused because their queue is full: a full queue
+# is worked off in about that time.
 BACKLOG_RETRY_MS = 150
 
 
 def has_no_lasting_effect(work: states.Work) -> bool:
-    """Say whether nothing of the request can last, whatever became of it."""
+    """Return whether the request cannot have a lasting effect."""
     request = work.request
     if request.statement.verb is statements.Verb.COMMIT:
         return False
@@ -49,17 +49,17 @@
 
 
 def may_have_run(work: states.Work) -> bool:
-    """Say whether an upstream has the request, or has answered it."""
+    """Return whether an upstream has received or answered the request."""
     return bool(work.running) or work.ready is not None
 
 
 def answer(
     state: states.GroupState, work: states.Work, outcome: outcomes.Outcome
 ) -> list:
-    """Give the final answer.
+    """Give the final answer to a request and remove it from the state.
 
-    Connections that still run a copy of the request go on: what they return
-    belongs to nobody any more.
+    Connections that still run a copy of the request are not interrupted;
+    their replies are discarded.
     """
     del state.work[work.request.key]
     if work.queued:
@@ -68,10 +68,10 @@
     answered = messages.Answer(work.request.key, outcome)
     if not work.told:
         return [answered]
-    return [answered, _tell_answered(work, outcome)]
+    return [answered, _answered_event(work, outcome)]
 
 
-def _tell_answered(
+def _answered_event(
     work: states.Work, outcome: outcomes.Outcome
 ) -> messages.Decided:
     return messages.Decided(
@@ -99,21 +99,22 @@
     reply: statements.Reply,
     needs_ms: int | None = None,
 ) -> list:
-    """Answer a success: the upstream's own rows and signature.
+    """Answer a successful request with the upstream's rows and signature.
 
-    One that needs the lead proved for a moment waits for that.
+    If `needs_ms` is given, the answer is held until the leadership of the
+    upstream has been proved for that time.
     """
-    outcome = _success(connection, reply, None)
+    outcome = _success_outcome(connection, reply, None)
     if needs_ms is None:
         return answer(state, work, outcome)
-    leads = connection.upstream == state.primary
-    if leads and needs_ms <= proofs.proven_ms(state):
+    at_primary = connection.upstream == state.primary
+    if at_primary and needs_ms <= proofs.proven_ms(state):
         return answer(state, work, outcome)
     work.needs_ms = needs_ms
-    return _hold(state, work, outcome, needs_ms)
+    return _hold_for_proof(state, work, outcome, needs_ms)
 
 
-def _success(
+def _success_outcome(
     connection: states.Connection,
     reply: statements.Reply,
     place: places.Place | None,
@@ -126,13 +127,13 @@
     )
 
 
-def _hold(
+def _hold_for_proof(
     state: states.GroupState,
     work: states.Work,
     outcome: outcomes.Done,
     at_ms: int,
 ) -> list:
-    """Keep an answer until the lead is proved for a moment, or more."""
+    """Hold an answer until leadership is proved for a time or later."""
     work.ready = outcome
     state.held.add(work.request.key)
     proofs.want(state, at_ms)
@@ -146,7 +147,11 @@
     connection: states.Connection,
     reply: statements.Reply,
 ) -> list:
-    """Acknowledge a write that its upstream confirmed, once that is sound."""
+    """Acknowledge a confirmed write as soon as it is durable.
+
+    A write is durable once it survives the loss of its primary. Until then
+    its answer is held.
+    """
     confirmation = known_places.Confirmation(
         connection.upstream,
         connection.sent_ms,
@@ -154,7 +159,7 @@
         connection.place_before,
         reply.place,
     )
-    outcome = _success(connection, reply, reply.place)
+    outcome = _success_outcome(connection, reply, reply.place)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is not None:
         upstream.confirmed_ms = now_ms
@@ -162,7 +167,7 @@
         return _acknowledge(state, now_ms, work, confirmation, outcome)
     work.confirmation = confirmation
     state.counters['write_held'] += 1
-    return _hold(state, work, outcome, confirmation.sent_ms)
+    return _hold_for_proof(state, work, outcome, confirmation.sent_ms)
 
 
 def _acknowledge(
@@ -174,22 +179,26 @@
 ) -> list:
     settling.note_confirmed(state, confirmation)
     state.unsure_ms = states.NEVER_MS
-    told = _tell_acknowledged(state, now_ms, work, confirmation)
-    return told + answer(state, work, outcome)
+    events = _acknowledged_events(state, now_ms, work, confirmation)
+    return events + answer(state, work, outcome)
 
 
-def _tell_acknowledged(
+def _acknowledged_events(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
     confirmation: known_places.Confirmation,
 ) -> list:
-    """Tell what was known of the members when one is not as usual."""
-    usual = all(
+    """Return a log event with the state of the members if one is unusual.
+
+    The usual state: each other member is established and not paused, and
+    the primary is not leaving.
+    """
+    is_usual = all(
         upstream.vouches and not upstream.held_term
         for upstream in states.others(state)
     )
-    if usual and not state.upstreams[state.primary].leaving:
+    if is_usual and not state.upstreams[state.primary].leaving:
         return []
     members = {
         upstream.name: {
@@ -211,7 +220,7 @@
 
 
 def answer_proven(state: states.GroupState, now_ms: int) -> list:
-    """Answer what waits for the proof that its upstream led."""
+    """Answer requests whose leadership proof has been obtained."""
     if not state.held:
         return []
     outs: list = []
@@ -220,10 +229,11 @@
         if work is None or work.ready is None:
             state.held.discard(key)
         elif work.ready.served_by != state.primary:
-            outs += _after_replacement(state, now_ms, work)
+            outs += _complete_after_replacement(state, now_ms, work)
         elif work.confirmation is not None:
-            outs += _acknowledge_held(state, now_ms, work)
-    # What was just acknowledged proves the lead for reads before it.
+            outs += _acknowledge_if_durable(state, now_ms, work)
+    # A write acknowledged just now also proves leadership for the reads
+    # that came before it.
     proven = proofs.proven_ms(state)
     for key in sorted(state.held):
         work = state.work[key]
@@ -233,7 +243,7 @@
     return outs
 
 
-def _acknowledge_held(
+def _acknowledge_if_durable(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     confirmation = work.confirmation
@@ -243,31 +253,31 @@
     return _acknowledge(state, now_ms, work, confirmation, work.ready)
 
 
-def _after_replacement(
+def _complete_after_replacement(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    """Judge an answer of an upstream that leads no more.
+    """Complete a request answered by an upstream that no longer leads.
 
-    What it read is not to be used. What was written lasts if its successor
-    began with it.
+    The result of a read must not be used. A write is kept if the log with
+    which the successor started includes it.
     """
-    carried_on: bool | None = False
+    is_kept: bool | None = False
     if work.confirmation is not None:
-        carried_on = confirmations.is_carried_on(state, work.confirmation)
-    if carried_on is None:
+        is_kept = confirmations.is_carried_on(state, work.confirmation)
+    if is_kept is None:
         return []
     state.held.discard(work.request.key)
-    if carried_on:
+    if is_kept:
         return answer(state, work, work.ready)
-    return _replaced(state, now_ms, work)
+    return _requeue_or_fail_replaced(state, now_ms, work)
 
 
-def _replaced(
+def _requeue_or_fail_replaced(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     work.ready = None
     if not has_no_lasting_effect(work):
-        # Its upstream was replaced, with or without what it wrote.
+        # The successor's log may or may not include the write.
         return give_up(state, now_ms, work, Reason.REPLACED, 0, maybe_ran=True)
     if work.request.transaction:
         return give_up(state, now_ms, work, Reason.TRANSACTION_LOST, 0)
@@ -282,10 +292,10 @@
     retry_after_ms: int,
     maybe_ran: bool = False,
 ) -> list:
-    """Refuse a request for good, and say truthfully what is kept of it."""
+    """End a request without a result, reporting whether it may have run."""
     request = work.request
-    held = work.confirmation
-    if held is not None and held.upstream == state.primary:
+    confirmation = work.confirmation
+    if confirmation is not None and confirmation.upstream == state.primary:
         state.unsure_ms = now_ms
     outcome = unserved_outcome(work, reason, retry_after_ms, maybe_ran)
     decided = messages.Decided(
@@ -296,7 +306,7 @@
             'reason': str(reason),
             'after_ms': now_ms - request.arrived_ms,
             'offered': work.offered_ms is not None,
-            'line': _line_of(work),
+            'line': _queue_name(work),
             'primary': state.primary,
             'primary_lost_ms': (
                 0
@@ -313,9 +323,10 @@
 
 
 def cancel(state: states.GroupState, work: states.Work) -> list:
-    """Answer a request whose caller is gone.
+    """Complete a request whose caller is gone.
 
-    Its connection goes on with what was sent, for nobody.
+    A statement that was already sent is not interrupted; its reply is
+    discarded.
     """
     outcome = unserved_outcome(work, Reason.CANCELLED, 0, may_have_run(work))
     return answer(state, work, outcome)
@@ -327,21 +338,21 @@
     retry_after_ms: int,
     maybe_ran: bool,
 ) -> outcomes.Outcome:
-    """Say what is kept of a request that is not served."""
+    """Return the outcome of a request that ends without a result."""
     if maybe_ran and not has_no_lasting_effect(work):
         return outcomes.Unknown(reason)
     return outcomes.NotRun(reason, retry_after_ms)
 
 
-def _line_of(work: states.Work) -> str:
-    """Name the line in which a request waited."""
+def _queue_name(work: states.Work) -> str:
+    """Return the name of the queue in which a request waited."""
     if work.is_moved:
         return 'primary, moved there'
     return 'primary' if work.primary_only else 'any'
 
 
 def end_transaction(state: states.GroupState, key: int) -> list:
-    """Forget a transaction; closing its connection rolls it back."""
+    """Remove a transaction; closing its connection rolls it back."""
     transaction = state.transactions.pop(key, None)
     if transaction is None:
         return []
@@ -350,17 +361,17 @@
 
 
 def enqueue(state: states.GroupState, now_ms: int, work: states.Work) -> list:
-    """Put a request in line; refuse the one that has to leave a full one.
+    """Queue a request; refuse the request that a full queue evicts for it.
 
-    It may be the same. Unrefused it would wait outside the line for its whole
-    time, and the caller with it.
+    The evicted request may be this one. Without a refusal it would wait
+    outside the queue until its deadline, and so would its caller.
     """
-    left_out = request_queues.add(state, work)
-    if left_out is None:
+    evicted_key = request_queues.add(state, work)
+    if evicted_key is None:
         return []
-    last = state.work[left_out]
-    last.queued = False
-    return give_up(state, now_ms, last, Reason.BACKLOG, BACKLOG_RETRY_MS)
+    evicted = state.work[evicted_key]
+    evicted.queued = False
+    return give_up(state, now_ms, evicted, Reason.BACKLOG, BACKLOG_RETRY_MS)
 
 
 def requeue(
@@ -370,13 +381,13 @@
     reason: outcomes.Reason,
     pause_ms: int = 0,
 ) -> list:
-    """Put a request that did not run back in line."""
+    """Put a request that did not run back in its queue."""
     state.counters[f'retry_{reason}'] += 1
     work.told = True
     work.last_reason = reason
     work.not_before_ms = now_ms + pause_ms
     if work.running:
-        # Another copy of a hedged read is still under way.
+        # Another copy of a hedged read is still running.
         return []
     outs = enqueue(state, now_ms, work)
     return [
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -1,4 +1,4 @@
-"""Give waiting requests an upstream and a connection."""
+"""Assign waiting requests to upstreams and send them."""
 
 from topazring.core import outcomes
 from topazring.core import places
@@ -19,20 +19,21 @@
 __all__ = [
     'continue_transaction',
     'hedge',
-    'start_waiting',
     'roll_back',
+    'start_waiting',
 ]
 
 Reason = outcomes.Reason
 
-# One ordinary request in so many is told in the log.
+# Of the requests without unusual events, one in this many is logged.
 LOG_SAMPLE_INTERVAL = 256
 
 
 def start_waiting(state: states.GroupState, now_ms: int) -> list:
-    """Serve what waits, in order, as long as connections are free.
+    """Start waiting requests in order while connections are free.
 
-    What proves the lead goes first: answers that are ready wait for it.
+    Leadership checks are sent first, because answers that are otherwise ready
+    wait for them.
     """
     outs: list = questions.ask(state, now_ms)
     outs += _serve_at_primary(state, now_ms)
@@ -40,9 +41,9 @@
 
 
 def _serve_at_primary(state: states.GroupState, now_ms: int) -> list:
-    """Serve those for the primary for as long as it takes another."""
+    """Start requests that need the primary while it accepts more."""
     outs: list = []
-    if not request_queues.has_any(state, True) or not _primary_takes(
+    if not request_queues.has_any(state, True) or not _primary_accepts(
         state, now_ms
     ):
         return outs
@@ -51,43 +52,44 @@
         if work.not_before_ms > now_ms:
             continue
         outs += _start_at_primary(state, now_ms, work)
-        if not _primary_takes(state, now_ms):
+        if not _primary_accepts(state, now_ms):
             return outs
     return outs
 
 
 def _serve_anywhere(state: states.GroupState, now_ms: int) -> list:
-    """Serve those that any upstream may take that is fresh enough."""
+    """Start requests that any sufficiently fresh upstream may serve."""
     outs: list = []
     if not request_queues.has_any(state, False):
         return outs
-    room = None
+    capacity = None
     for key in request_queues.service_order(state, False):
         work = state.work[key]
         if work.not_before_ms > now_ms:
             continue
-        if room is None:
-            room = routing.read_capacity(state, now_ms)
-        done = _anywhere(state, now_ms, work, room)
-        if done:
-            # It took a connection, or others made way for it.
-            room = None
-            outs += done
+        if capacity is None:
+            capacity = routing.read_capacity(state, now_ms)
+        started = _try_any(state, now_ms, work, capacity)
+        if started:
+            # The request took a connection, or others were evicted from the
+            # queue for it, so the capacity has to be determined again.
+            capacity = None
+            outs += started
     return outs
 
 
-def _primary_takes(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether the primary takes another request, whichever it is."""
+def _primary_accepts(state: states.GroupState, now_ms: int) -> bool:
+    """Return whether the primary can accept another request."""
     upstream = state.upstreams.get(state.primary)
     if upstream is None or states.is_closed_to_work(upstream, now_ms):
         return False
     return routing.accepts_request(state, now_ms, upstream)
 
 
-def _at_primary(
+def _try_primary(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    if not _primary_takes(state, now_ms):
+    if not _primary_accepts(state, now_ms):
         return []
     return _start_at_primary(state, now_ms, work)
 
@@ -99,23 +101,25 @@
     return _start(state, now_ms, work, connection, None)
 
 
-def _anywhere(
+def _try_any(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    room: routing.ReadCapacity,
+    capacity: routing.ReadCapacity,
 ) -> list:
-    place = freshness.required_place(state, work.request)
-    if place is None:
+    position = freshness.required_place(state, work.request)
+    if position is None:
         return _move_to_primary(state, now_ms, work, 'no age is known')
-    among = routing.filter_fresh(state, now_ms, work, place, room.readable)
-    if not among:
+    fresh = routing.filter_fresh(
+        state, now_ms, work, position, capacity.readable
+    )
+    if not fresh:
         return _move_to_primary(state, now_ms, work, 'no replica will do')
-    free = [upstream for upstream in among if upstream.name in room.free]
+    free = [upstream for upstream in fresh if upstream.name in capacity.free]
     if not free:
         return []
     chosen = routing.choose_free_connection(state, now_ms, free, work)
-    return _start(state, now_ms, work, chosen, place)
+    return _start(state, now_ms, work, chosen, position)
 
 
 def _move_to_primary(
@@ -137,7 +141,7 @@
             'passed_over': len(work.passed_over),
         },
     )
-    return [moved, *outs, *_at_primary(state, now_ms, work)]
+    return [moved, *outs, *_try_primary(state, now_ms, work)]
 
 
 def _start(
@@ -153,30 +157,31 @@
     if work.offered_ms is None:
         work.offered_ms = now_ms
     pace.begin(connection, now_ms)
-    _assign(state, work, connection)
-    outs = _tell_sent(state, now_ms, work, connection, after)
+    _assign_connection(state, work, connection)
+    outs = _sent_events(state, now_ms, work, connection, after)
     if after is None and proofs.needs_proof(request):
         proofs.want(state, request.arrived_ms)
     if request.begins:
         commands = exchanges.begin_commands(connection, request, after)
-        errand = states.Errand.BEGINNING
+        purpose = states.Errand.BEGINNING
     else:
         commands = exchanges.single_commands(connection, request, after)
-        errand = states.Errand.STATEMENT
-    outs.append(connections.send(connection, now_ms, errand, commands))
+        purpose = states.Errand.STATEMENT
+    outs.append(connections.send(connection, now_ms, purpose, commands))
     return outs + questions.ask(state, now_ms)
 
 
-def _tell_sent(
+def _sent_events(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
     connection: states.Connection,
     after: places.Place | None,
 ) -> list:
-    """Tell where a request goes, if anything about it was told before.
+    """Return a log event with the upstream that a request is sent to.
 
-    Of the ordinary ones a sample is told.
+    It is logged if an earlier event of the request was; of the other requests
+    one in `LOG_SAMPLE_INTERVAL` is logged.
     """
     request = work.request
     if not work.told and request.key % LOG_SAMPLE_INTERVAL:
@@ -202,12 +207,12 @@
     ]
 
 
-def _assign(
+def _assign_connection(
     state: states.GroupState,
     work: states.Work,
     connection: states.Connection,
 ) -> None:
-    # A transaction goes on at an upstream that is listed no more.
+    # A transaction continues at an upstream that is no longer listed.
     upstream = state.upstreams.get(connection.upstream)
     connection.place_before = places.ORIGIN
     if upstream is not None:
@@ -231,16 +236,16 @@
     commands = exchanges.adapt(connection, request)
     commands.append(exchanges.statement_command(request))
     work.offered_ms = now_ms
-    _assign(state, work, connection)
-    errand = states.Errand.STATEMENT
-    sent = connections.send(connection, now_ms, errand, tuple(commands))
+    _assign_connection(state, work, connection)
+    purpose = states.Errand.STATEMENT
+    sent = connections.send(connection, now_ms, purpose, tuple(commands))
     return [sent]
 
 
 def roll_back(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> list:
-    """Roll an idle connection back for its next use."""
+    """Roll back the transaction of an idle connection so it can be reused."""
     connection.transaction = 0
     rollback = (statements.Rollback(),)
     return [
@@ -249,26 +254,29 @@
 
 
 def hedge(state: states.GroupState, now_ms: int, work: states.Work) -> list:
-    """Run a slow read a second time, at another upstream.
+    """Send another copy of a slow read to another upstream.
 
-    Only a copy that goes out is paid for. Looking for a connection every
-    20 ms would use up the budget in a moment, and with it that of retries.
+    The retry budget is charged only when a copy is sent. Charging each
+    search for a connection, one every 20 ms, would soon exhaust the budget,
+    which hedges share with retries.
     """
     request = work.request
     busy_at = {state.connections[number].upstream for number in work.running}
-    place = freshness.required_place(state, request)
-    among = []
-    if place is not None:
-        among = [
+    position = freshness.required_place(state, request)
+    fresh = []
+    if position is not None:
+        fresh = [
             upstream
-            for upstream in routing.fresh_upstreams(state, now_ms, work, place)
+            for upstream in routing.fresh_upstreams(
+                state, now_ms, work, position
+            )
             if upstream.name not in busy_at
         ]
-    chosen = routing.choose_connection(state, now_ms, among, work)
+    chosen = routing.choose_connection(state, now_ms, fresh, work)
     primary = state.upstreams.get(state.primary)
     if chosen is None and primary is not None:
-        # A second connection to the primary: the first may be silent.
-        place = None
+        # Use a second connection to the primary: the first may be silent.
+        position = None
         if not states.is_closed_to_work(primary, now_ms):
             chosen = routing.best_connection(state, primary.name, request)
     if chosen is None or not retries.spend(state.budget):
@@ -284,4 +292,4 @@
             'after_ms': now_ms - request.arrived_ms,
         },
     )
-    return [decided, *_start(state, now_ms, work, chosen, place)]
+    return [decided, *_start(state, now_ms, work, chosen, position)]
--- a/topazring/core/synchronous/exchanges.py
+++ b/topazring/core/synchronous/exchanges.py
@@ -1,8 +1,9 @@
-"""Write what goes to an upstream for a request, and judge what comes back.
+"""Build the commands sent for a request, and check the replies to them.
 
-A statement outside a transaction goes out in one piece with all that has to
-precede it. A transaction's statement waits for the BEGIN: a statement behind
-a refused BEGIN would run outside the caller's transaction.
+A statement outside a transaction is sent together with all commands that
+have to precede it. The first statement of a transaction is sent only after
+its BEGIN has succeeded: behind a refused BEGIN it would run outside the
+caller's transaction.
 """
 
 from topazring.core import places
@@ -21,24 +22,28 @@
     'statement_command',
 ]
 
-# BEGIN takes no slot, and an upstream that does not lead refuses it. So its
-# success proves, before the read behind it runs, that the upstream led after
-# the read had arrived here.
+# Leadership check sent ahead of a read. BEGIN takes no slot, and an upstream
+# that does not lead refuses it. Its success therefore proves, before the read
+# behind it runs, that the upstream led after the read arrived at this proxy.
 LEADERSHIP_CHECK = (statements.Begin(), statements.Rollback())
 
-# No term is below the first, so nobody is demoted. The answer is an upstream's
-# own word on its part, its log, and whether it is paused, as that to STATUS
-# is, but it takes no slot.
+# Status query. No term is below the first one, so DEMOTE 0 demotes no
+# upstream. As for STATUS, the reply reports the upstream's role, its log and
+# whether it is paused, but unlike STATUS it takes no slot.
 STATUS_QUERY = (statements.Demote(0),)
 
 
 def adapt(
     connection: states.Connection, request: messages.Request
 ) -> list[statements.Command]:
-    """Bring a connection to a session's values and prepared shape."""
+    """Return the commands that set up a connection for a session.
+
+    They set its values and prepare the shape that the request executes; the
+    recorded state of the connection is updated.
+    """
     commands: list[statements.Command] = []
-    foreign = connection.values.keys() - request.values.keys()
-    if foreign:
+    stale_names = connection.values.keys() - request.values.keys()
+    if stale_names:
         commands.append(statements.Reset())
         connection.values.clear()
         connection.prepared.clear()
@@ -56,7 +61,7 @@
 def adapt_cost(
     connection: states.Connection, request: messages.Request
 ) -> int:
-    """Return how many commands `adapt` would send."""
+    """Return the number of commands that `adapt` would return."""
     values = request.values
     cost = 0
     prepared = connection.prepared
@@ -76,7 +81,7 @@
 def statement_command(
     request: messages.Request, after: places.Place | None = None
 ) -> statements.Command:
-    """Return the request's own statement."""
+    """Return the command that runs the request's own statement."""
     statement = request.statement
     if statement.verb is statements.Verb.COMMIT:
         return statements.Commit(statement.request_id)
@@ -95,9 +100,9 @@
     request: messages.Request,
     after: places.Place | None,
 ) -> tuple[statements.Command, ...]:
-    """Return all that goes out for a statement outside a transaction.
+    """Return all commands for a statement outside a transaction.
 
-    A read without a place to be at goes behind a guard.
+    A read that requires no log position is preceded by a leadership check.
     """
     commands = adapt(connection, request)
     if after is None and not request.writes:
@@ -111,10 +116,14 @@
     request: messages.Request,
     after: places.Place | None,
 ) -> tuple[statements.Command, ...]:
-    """Return what begins a transaction, without its first statement."""
+    """Return the commands that begin a transaction.
+
+    The first statement of the transaction is not included.
+    """
     commands = adapt(connection, request)
     if request.read_only and after is None:
-        # BEGIN READ succeeds at any upstream and proves nothing.
+        # BEGIN READ succeeds at any upstream, so it does not prove
+        # leadership.
         commands += LEADERSHIP_CHECK
     commands.append(statements.Begin(request.read_only, after))
     return tuple(commands)
@@ -124,10 +133,10 @@
     commands: tuple[statements.Command, ...],
     replies: tuple[statements.Reply, ...],
 ) -> statements.Reply | None:
-    """Return the first refusal ahead of the last command, if there is one.
+    """Return the first refusal of a command before the last one, if any.
 
-    What ran behind it ran without what it was to prove or set: its answer
-    is not to be used.
+    A statement behind it ran without the proof or settings that the refused
+    command was to provide, so its result must not be used.
     """
     for reply in replies[: len(commands) - 1]:
         if reply.code is not None:
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -1,4 +1,4 @@
-"""End what has run out of time; try slow reads elsewhere."""
+"""Expire late requests and silent connections; hedge slow reads."""
 
 from topazring.core import outcomes
 from topazring.core.synchronous import completion
@@ -18,44 +18,46 @@
 
 Reason = outcomes.Reason
 
-# When a caller may come back whose request found no primary: a promotion
-# takes some hundred ms and finding the new primary a few more.
+# Retry delay for a request that found no primary: a promotion takes some
+# hundred ms, and finding the new primary a few more.
 NO_PRIMARY_RETRY_MS = 400
 RETRY_MS = 100
-# A connection whose commands have gone unanswered for so long carries
-# nothing any more; the longest statement takes a fifth of it.
+# A connection whose commands have been unanswered for this long is considered
+# dead; the longest statement takes a fifth of it.
 SILENT_MS = 1500
-# One whose request has its answer already holds up those that wait.
+# Shorter timeout for a connection whose request has been answered already, as
+# it only keeps waiting requests from running.
 SILENT_ABANDONED_MS = 400
-# Guards take no slot, so their answer is never slow.
+# Leadership checks take no slot, so their replies are never slow.
 SILENT_CHECK_MS = 400
 MAX_HEDGES = 2
-# A confirmed write waits so long for a member's word, also past its deadline:
-# members are asked again by then, and most callers still take the answer.
+# A confirmed write waits this long for the report of a member that makes it
+# durable, even past its deadline: by then the members have been queried again,
+# and most callers still accept the answer.
 CONFIRMATION_GRACE_MS = 50
 
 
 def expire(state: states.GroupState, now_ms: int) -> list:
-    """Give up what is late, and hedge reads that take unusually long."""
-    outs: list = _undo_idle(state, now_ms)
+    """Expire late requests, and hedge reads that take unusually long."""
+    outs: list = _roll_back_idle(state, now_ms)
     for work in list(state.work.values()):
-        if now_ms >= _ends_ms(work):
-            outs += _too_late(state, now_ms, work)
+        if now_ms >= _expires_ms(work):
+            outs += _expire_request(state, now_ms, work)
         elif work.ready is not None:
-            outs += _unproved(state, now_ms, work)
+            outs += _give_up_unproven(state, now_ms, work)
         elif work.queued and work.primary_only:
-            outs += _hopeless(state, now_ms, work)
+            outs += _refuse_if_hopeless(state, now_ms, work)
         elif work.running and _is_stranded(state, now_ms, work):
-            outs += _let_go(state, now_ms, work, Reason.REPLACED)
+            outs += _abort(state, now_ms, work, Reason.REPLACED)
         elif state.isolated_with and _is_unconfirmed(state, now_ms, work):
-            outs += _let_go(state, now_ms, work, Reason.NOT_CONFIRMED)
+            outs += _abort(state, now_ms, work, Reason.NOT_CONFIRMED)
         elif work.running and _is_slow(state, now_ms, work):
             outs += dispatch.hedge(state, now_ms, work)
     return outs
 
 
-def _ends_ms(work: states.Work) -> int:
-    """Return when a request is given up at the latest."""
+def _expires_ms(work: states.Work) -> int:
+    """Return the time at which a request expires at the latest."""
     if work.confirmation is None:
         return work.deadline_ms
     return max(
@@ -64,11 +66,11 @@
     )
 
 
-def _undo_idle(state: states.GroupState, now_ms: int) -> list:
-    """Undo transactions whose callers left them idle for too long.
+def _roll_back_idle(state: states.GroupState, now_ms: int) -> list:
+    """Roll back transactions that their callers left idle for too long.
 
-    Each holds a connection that others wait for. The caller learns of it by
-    its next statement.
+    Each holds a connection that other requests wait for. The caller is
+    informed by the refusal of its next statement.
     """
     outs: list = []
     for key, transaction in list(state.transactions.items()):
@@ -86,12 +88,12 @@
     return outs
 
 
-def _too_late(
+def _expire_request(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     if completion.may_have_run(work):
-        unproven = work.ready is not None
-        reason = Reason.UNPROVEN if unproven else Reason.UPSTREAM_TIMEOUT
+        is_unproven = work.ready is not None
+        reason = Reason.UNPROVEN if is_unproven else Reason.UPSTREAM_TIMEOUT
         return completion.give_up(
             state, now_ms, work, reason, RETRY_MS, maybe_ran=True
         )
@@ -100,25 +102,25 @@
     return completion.give_up(state, now_ms, work, reason, retry_ms)
 
 
-def _hopeless(
+def _refuse_if_hopeless(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    hopeless = prospects.judge(state, now_ms, work)
-    if hopeless is None:
+    refusal = prospects.judge(state, now_ms, work)
+    if refusal is None:
         return []
     return completion.give_up(
-        state, now_ms, work, hopeless.reason, hopeless.retry_after_ms
+        state, now_ms, work, refusal.reason, refusal.retry_after_ms
     )
 
 
-def _unproved(
+def _give_up_unproven(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    """Give up an answer that waits for what cannot be had from here."""
+    """Give up a held answer if this proxy cannot obtain what it waits for."""
     if work.confirmation is not None:
         waited_ms = now_ms - work.confirmation.sent_ms
-        alone = confirmations.is_alone(state, now_ms)
-        if not alone or waited_ms < proofs.DOUBT_MS:
+        is_alone = confirmations.is_alone(state, now_ms)
+        if not is_alone or waited_ms < proofs.DOUBT_MS:
             return []
     elif not proofs.in_doubt(state, now_ms):
         return []
@@ -131,10 +133,11 @@
 def _is_stranded(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> bool:
-    """Say whether a request hangs at a primary that was replaced.
+    """Return whether a request is stuck at a primary that was replaced.
 
-    Without this a caller waits for its whole time for an answer that cannot
-    come: what the old primary had not answered by then it never will.
+    Without this check a caller would wait until its deadline for an answer
+    that cannot arrive: the old primary never answers what it had not answered
+    by then.
     """
     request = work.request
     if request.read_only or not (request.writes or request.transaction):
@@ -157,9 +160,10 @@
 def _is_unconfirmed(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> bool:
-    """Say whether a write hangs at a primary that this proxy is cut off with.
+    """Return whether a write hangs at a primary isolated with this proxy.
 
-    It must not be acknowledged here once another leads on the other side.
+    It must not be acknowledged here once another upstream leads on the other
+    side of the partition.
     """
     return any(
         evidence.waits_for_replica(state.connections[number])
@@ -168,17 +172,17 @@
     )
 
 
-def _let_go(
+def _abort(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
     reason: outcomes.Reason,
 ) -> list:
-    """Give up a request whose connections are of no more use."""
+    """Give up a request and drop the connections that run it."""
     outs = completion.give_up(state, now_ms, work, reason, 0, maybe_ran=True)
     for number in list(work.running):
         connection = state.connections.get(number)
-        # A transaction's went with it.
+        # The connection of a transaction was dropped with the transaction.
         if connection is not None:
             outs += connections.drop(state, connection)
     return outs
@@ -194,7 +198,7 @@
         if upstream is None:
             continue
         if work.primary_only and connection.upstream != state.primary:
-            # The primary that it was sent to is replaced.
+            # The primary that the request was sent to has been replaced.
             continue
         took_ms = now_ms - connection.sent_ms
         if took_ms <= pace.late_after_ms(upstream):
@@ -203,13 +207,13 @@
 
 
 def expire_connections(state: states.GroupState, now_ms: int) -> list:
-    """Close connections that went silent, as if the other end had."""
+    """Close silent connections and process them as if the peer had closed."""
     outs: list = []
     for connection in list(state.connections.values()):
         if connection.phase is states.Phase.IDLE:
             continue
         waited_ms = now_ms - max(connection.sent_ms, state.woke_ms)
-        if waited_ms < _patience(state, connection):
+        if waited_ms < _silence_timeout_ms(state, connection):
             continue
         outs.append(messages.Close(connection.number))
         outs.append(
@@ -228,7 +232,9 @@
     return outs
 
 
-def _patience(state: states.GroupState, connection: states.Connection) -> int:
+def _silence_timeout_ms(
+    state: states.GroupState, connection: states.Connection
+) -> int:
     if connection.phase is states.Phase.OPENING:
         return connections.DIAL_TIMEOUT_MS
     if connection.errand in (states.Errand.GUARD, states.Errand.BEGINNING):
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -1,16 +1,16 @@
-"""Decide which proxy serves a request, and what after it could not.
-
-A request is tried at the owner that is expected to serve it soonest, this
-proxy itself among them. Each answer of an owner tells how many requests wait
-there. The own data centre is preferred, as bytes between data centres cost
-money, but not at any price: the one owner of a data centre would carry all of
-it while others are idle. A proxy
-that was asked never asks another, so a request makes one hop at a time and
-never goes in circles.
-
-What may have run is not tried again: a write that was sent on a link that
-ended has an open fate. A transaction stays with the proxy that began it; it
-is undone there when the link ends.
+"""Choose the owner that serves a request, and the next one if it cannot.
+
+A request is sent to the owner that is expected to serve it soonest, which may
+be this proxy. Each answer of an owner reports how many requests wait there.
+Owners in the own data centre are preferred, because traffic between data
+centres costs money, but only up to a limit: otherwise the single owner of a
+data centre would carry all its load while other owners are idle. A proxy that
+receives a forwarded request never forwards it again, so a request makes one
+hop at a time and cannot loop.
+
+A request that may have run is not tried again: the outcome of a write that
+was sent on a link that ended is unknown. A transaction stays with the proxy
+at which it began, and is rolled back there when the link ends.
 """
 
 import collections.abc
@@ -22,10 +22,10 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'THIS_PROXY',
-    'Load',
     'LinkLost',
+    'Load',
     'Plan',
+    'THIS_PROXY',
     'final_outcome',
     'is_final',
     'lost_link_outcome',
@@ -35,12 +35,12 @@
 
 Reason = outcomes.Reason
 
-# Stands for this proxy.
+# Denotes this proxy in place of an owner's name.
 THIS_PROXY = ''
-# Places tried for one request, this proxy included: each hop takes some
-# milliseconds of a caller's time.
+# Owners tried for one request, including this proxy. Each hop takes some
+# milliseconds of the caller's deadline.
 MAX_ATTEMPTS = 4
-# These say that the place could not serve it, another may.
+# Refusals after which another owner may still be able to serve the request.
 FORWARDABLE_REASONS = frozenset(
     {
         Reason.CONNECTION_LIMIT,
@@ -52,29 +52,31 @@
         Reason.UNPROVEN,
     }
 )
-# Waiting requests that a hop weighs as much as, and one to another data
-# centre: a statement takes 10 to 20 ms on one of some ten connections, the
-# hop half a millisecond and three more between data centres.
+# Costs of a hop within a data centre and to another one, as a number of
+# waiting requests: a statement takes 10 to 20 ms on one of some ten
+# connections, a hop takes half a millisecond, and three more between data
+# centres.
 HOP_COST = 1.0
 REMOTE_HOP_COST = 3.0
-# What an owner told of its line counts half after so long.
+# Half-life of the queue length that an owner reported.
 LOAD_HALF_LIFE_MS = 300
-# When to come back if nobody could be reached.
+# Retry delay for callers if no owner could be reached.
 NO_OWNER_RETRY_MS = 200
-# A service that has just been added is known here within a second.
+# Retry delay for a service without configuration: a newly added service is
+# configured here within a second.
 UNCONFIGURED_RETRY_MS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkLost:
-    """Report that a link ended, or never began, before the answer."""
+    """Report that a link ended, or could not be opened, before the answer."""
 
     sent: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Hold where a request was tried."""
+    """Hold the owners tried for a request and the last refusal."""
 
     tried: list[str] = dataclasses.field(default_factory=list)
     last: outcomes.Outcome | None = None
@@ -82,16 +84,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """Hold how busy an owner is with one service, as far as is known."""
+    """Hold the last known load of an owner for one service."""
 
-    # Requests of ours that it has not answered.
+    # Requests of this proxy that it has not answered.
     under_way: int = 0
-    # Requests that waited there when it last told.
+    # Requests that waited there at its last report.
     waiting: int = 0
     reported_ms: int = 0
 
     def expected_ahead(self, now_ms: int) -> float:
-        """Return how many requests are ahead of a new one."""
+        """Return the expected number of requests ahead of a new one."""
         age_ms = now_ms - self.reported_ms
         return self.under_way + self.waiting * 0.5 ** (
             age_ms / LOAD_HALF_LIFE_MS
@@ -109,32 +111,34 @@
     weigh: Weigh,
     turn: int,
 ) -> str | None:
-    """Return where to try next, None if nowhere is left.
+    """Return the owner to try next, None if none is left.
 
-    `weigh` returns how many requests are ahead at a place, None for one that
-    cannot be reached. `turn` spreads requests over equals.
+    `weigh` returns the number of requests ahead at an owner, or None if the
+    owner is unreachable. `turn` spreads requests over owners of equal cost.
     """
     if len(plan.tried) >= MAX_ATTEMPTS:
         return None
     costs: dict[str, float] = {}
     for owner in owned.owners:
-        place = THIS_PROXY if owner.name == name else owner.name
-        ahead = weigh(place)
-        if place in plan.tried or ahead is None:
+        candidate = THIS_PROXY if owner.name == name else owner.name
+        ahead = weigh(candidate)
+        if candidate in plan.tried or ahead is None:
             continue
-        if place != THIS_PROXY:
-            near = owner.data_centre == data_centre
-            ahead += HOP_COST if near else REMOTE_HOP_COST
-        costs[place] = ahead
+        if candidate != THIS_PROXY:
+            is_local = owner.data_centre == data_centre
+            ahead += HOP_COST if is_local else REMOTE_HOP_COST
+        costs[candidate] = ahead
     if not costs:
         return None
     least = min(costs.values())
-    equals = [place for place, cost in costs.items() if cost == least]
-    return equals[turn % len(equals)]
+    cheapest = [
+        candidate for candidate, cost in costs.items() if cost == least
+    ]
+    return cheapest[turn % len(cheapest)]
 
 
 def is_final(request: messages.Request, outcome: outcomes.Outcome) -> bool:
-    """Say whether a place's answer is the request's, wherever else it went."""
+    """Return whether an owner's answer is final, so no other is tried."""
     if request.goes_on or not isinstance(outcome, outcomes.NotRun):
         return True
     return outcome.reason not in FORWARDABLE_REASONS
@@ -143,25 +147,26 @@
 def lost_link_outcome(
     request: messages.Request, lost: LinkLost
 ) -> outcomes.Outcome | None:
-    """Return the answer if a link that ended decides it."""
-    commits = request.statement.verb is statements.Verb.COMMIT
+    """Return the outcome after a lost link, None to try another owner."""
+    is_commit = request.statement.verb is statements.Verb.COMMIT
     if request.goes_on:
-        if commits and lost.sent:
+        if is_commit and lost.sent:
             return outcomes.Unknown(Reason.OWNER_LOST)
         return outcomes.NotRun(Reason.TRANSACTION_LOST, 0)
     if lost.sent and request.writes and not request.transaction:
         return outcomes.Unknown(Reason.OWNER_LOST)
-    # A read keeps nothing, and a transaction is undone with its link.
+    # A read has no lasting effect, and a transaction is rolled back when its
+    # link ends.
     return None
 
 
 def unconfigured_outcome() -> outcomes.NotRun:
-    """Return the refusal where no configuration names the service."""
+    """Return the refusal for a service without configuration."""
     return outcomes.NotRun(Reason.NO_CONFIGURATION, UNCONFIGURED_RETRY_MS)
 
 
 def final_outcome(plan: Plan) -> outcomes.Outcome:
-    """Return the answer once nowhere is left to try."""
+    """Return the answer once no owner is left to try."""
     if plan.last is not None:
         return plan.last
     return outcomes.NotRun(Reason.NO_OWNER, NO_OWNER_RETRY_MS)
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -1,11 +1,12 @@
-"""Bound the age of what a read sees, without comparing clocks.
-
-A sample is the place at which the primary's log stood in the answer to a
-guard, bound to our time of sending. All that was acknowledged before that
-time is at or before the place, once it is proved that nobody else led then:
-a replaced primary that is cut off goes on answering guards. A replica that
-holds the place of a sample taken at most the allowed staleness before a read
-arrived is fresh enough for it.
+"""Bound the staleness of reads without comparing clocks.
+
+A sample is the log position that the primary reported in its reply to a
+leadership check, together with the time at which this proxy sent the check.
+All writes acknowledged before that time are at or before the position, once
+it is proved that no other upstream led then; the proof is needed because a
+replaced primary that is cut off still answers leadership checks. A replica
+that has applied the position of a sample is fresh enough for a read if the
+check was sent at most the allowed staleness before the read arrived.
 """
 
 import bisect
@@ -23,19 +24,19 @@
     'required_place',
 ]
 
-# Beyond the longest staleness in use a sample is worth nothing, except the
-# newest of those, which nothing younger replaces.
+# Samples older than the longest staleness in use are of no use, except the
+# newest of them while there is no younger sample.
 SAMPLE_RETENTION_MS = 10_000
-# Samples closer together than this add nothing to the choice of a place.
+# Samples closer together than this do not improve the choice of a position.
 SAMPLE_SPACING_MS = 50
 
 _sent_ms = operator.attrgetter('sent_ms')
 
 
 def add_sample(state: states.GroupState, sample: places.Sample) -> None:
-    """Take in a sample; one with a place behind a known one is dropped.
+    """Add a sample unless its position is behind that of the newest one.
 
-    Answers come on several connections and can overtake each other.
+    Replies arrive on several connections and can overtake each other.
     """
     state.departures.note_primary(sample.sent_ms, sample.place)
     samples = state.samples
@@ -49,14 +50,15 @@
 
 
 def newest_sample_ms(state: states.GroupState) -> int | None:
-    """Return when the newest sample was sent."""
+    """Return the time at which the newest sample was requested, if any."""
     return state.samples[-1].sent_ms if state.samples else None
 
 
 def position_at(state: states.GroupState, at_ms: int) -> places.Place | None:
-    """Return where the present primary's log stood at a time.
+    """Return a position that the current primary's log had by a given time.
 
-    An earlier primary's log may have had a tail that was cut back.
+    Samples from before its leadership was proved are ignored: an earlier
+    primary's log may have had a tail that was truncated.
     """
     for sample in reversed(state.samples):
         if sample.sent_ms < state.proven_ms:
@@ -67,7 +69,7 @@
 
 
 def discard_samples(state: states.GroupState) -> None:
-    """Trust no age: this process stood still, or its group began anew."""
+    """Discard all samples after a process pause or a group restart."""
     state.samples.clear()
     state.pending.clear()
 
@@ -75,15 +77,16 @@
 def required_place(
     state: states.GroupState, request: messages.Request
 ) -> places.Place | None:
-    """Return the place that a replica has to hold, None if none will do.
+    """Return the log position that a replica must have applied for a read.
 
-    The oldest sample that is young enough asks least of the replica.
+    None means that only the primary may serve the read. Of the samples that
+    are recent enough the oldest is used, as it requires least of the replica.
     """
     policy = request.policy
     if policy.freshness is messages.Freshness.PRIMARY:
         return None
     oldest_ms = request.arrived_ms - policy.max_staleness_ms
-    # Ten seconds of writes leave two hundred samples.
+    # Binary search: ten seconds of writes leave two hundred samples.
     first = bisect.bisect_left(state.samples, oldest_ms, key=_sent_ms)
     if first == len(state.samples):
         return None
--- a/topazring/core/synchronous/queue_report.py
+++ b/topazring/core/synchronous/queue_report.py
@@ -1,9 +1,9 @@
-"""Tell how a group's line stands, and what its connections are doing.
+"""Log the state of a group's queues and the use of its connections.
 
-A request that waits for its whole time leaves one line in the log, and that
-says nothing of what it waited for: connections that transactions keep, busy
-upstreams, or reads that found no replica look alike. Once a second, while
-somebody waits for long, this tells them apart.
+A request that waits until its deadline leaves one log entry, which does not
+show what it waited for: connections held by transactions, busy upstreams and
+reads without a suitable replica look the same. This report, logged once a
+second while a request has been waiting for long, distinguishes them.
 """
 
 import collections
@@ -13,26 +13,26 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
-__all__ = ['ConnectionUse', 'report_long_waits', 'count_uses']
+__all__ = ['ConnectionUse', 'count_uses', 'report_long_waits']
 
-# A calm line moves on within a few statements of 10 to 20 ms.
+# In normal operation a queue moves on within a few statements of 10 to 20 ms.
 LONG_WAIT_MS = 100
-# A line of some 600 bytes: 0.6 KB/s for a group that is in trouble, nothing
-# for others.
+# A log entry has some 600 bytes: 0.6 KB/s for a group whose requests wait,
+# nothing for other groups.
 PERIOD_MS = 1000
 
 
 class ConnectionUse(enum.StrEnum):
-    """Name what a connection to an upstream is used for."""
+    """What a connection to an upstream is used for."""
 
     OPENING = 'opening'
     IDLE = 'idle'
-    # A statement of nobody's transaction.
+    # Running a statement outside a transaction.
     STATEMENTS = 'statements'
-    # In a transaction: with a statement under way, and waiting for the caller.
+    # In a transaction: running a statement, and waiting for the caller.
     WORKING = 'working'
     PAUSING = 'pausing'
-    # Questions, undoing, steps of a promotion.
+    # Leadership checks, status queries, rollbacks, steps of a promotion.
     OTHER = 'other'
 
 
@@ -41,12 +41,12 @@
 ) -> collections.Counter[ConnectionUse]:
     """Count the connections to an upstream by what they are used for."""
     return collections.Counter(
-        _use(connection)
+        _connection_use(connection)
         for connection in states.connections_to(state, upstream)
     )
 
 
-def _use(connection: states.Connection) -> ConnectionUse:
+def _connection_use(connection: states.Connection) -> ConnectionUse:
     if connection.phase is states.Phase.OPENING:
         return ConnectionUse.OPENING
     if connection.phase is states.Phase.IDLE:
@@ -69,28 +69,36 @@
 def report_long_waits(
     state: states.GroupState, now_ms: int
 ) -> list[messages.Decided]:
-    """Tell how the line stands if somebody waits for long."""
+    """Return a log event with the state of the queues if a wait is long.
+
+    There is at most one event each `PERIOD_MS`.
+    """
     if now_ms - state.line_told_ms < PERIOD_MS:
         return []
-    line = [work for work in state.work.values() if work.queued]
-    since_ms = min((work.request.arrived_ms for work in line), default=now_ms)
-    if now_ms - since_ms < LONG_WAIT_MS:
+    waiting = [work for work in state.work.values() if work.queued]
+    oldest_ms = min(
+        (work.request.arrived_ms for work in waiting), default=now_ms
+    )
+    if now_ms - oldest_ms < LONG_WAIT_MS:
         return []
     state.line_told_ms = now_ms
-    inputs = {'oldest_ms': now_ms - since_ms, **_describe(state, now_ms, line)}
+    inputs = {
+        'oldest_ms': now_ms - oldest_ms,
+        **_describe(state, now_ms, waiting),
+    }
     return [messages.Decided('line stands', inputs=inputs)]
 
 
 def _describe(
-    state: states.GroupState, now_ms: int, line: list[states.Work]
+    state: states.GroupState, now_ms: int, waiting: list[states.Work]
 ) -> dict[str, object]:
-    """Return who waits for what, and what each upstream is used for."""
-    for_primary = sum(work.primary_only for work in line)
+    """Return what the requests wait for and how each upstream is used."""
+    for_primary = sum(work.primary_only for work in waiting)
     newest_ms = freshness.newest_sample_ms(state)
     return {
         'for_primary': for_primary,
-        'of_them_reads_moved': sum(work.is_moved for work in line),
-        'for_any': len(line) - for_primary,
+        'of_them_reads_moved': sum(work.is_moved for work in waiting),
+        'for_any': len(waiting) - for_primary,
         'primary': state.primary,
         'sample_age_ms': None if newest_ms is None else now_ms - newest_ms,
         'share': state.connection_share,
@@ -104,11 +112,11 @@
 def _describe_upstream(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> str:
-    counted = count_uses(state, upstream.name)
-    told = ' '.join(f'{use} {counted[use]}' for use in ConnectionUse)
-    told += f' ms {upstream.service_ms:.0f}'
+    counts = count_uses(state, upstream.name)
+    text = ' '.join(f'{use} {counts[use]}' for use in ConnectionUse)
+    text += f' ms {upstream.service_ms:.0f}'
     if states.lacks_lately(upstream, now_ms):
-        told += f' lacks {upstream.lacked}'
+        text += f' lacks {upstream.lacked}'
     if upstream.is_full:
-        told += ' full'
-    return f'{told} place {upstream.place}'
+        text += ' full'
+    return f'{text} place {upstream.place}'
--- a/topazring/core/synchronous/request_queues.py
+++ b/topazring/core/synchronous/request_queues.py
@@ -1,7 +1,8 @@
-"""Keep requests that wait for a connection in order.
+"""Queue the requests that wait for a connection.
 
-The lowest priority number goes first; within it organisations take turns,
-and in an organisation's line the earliest deadline is first.
+Requests with the lowest priority number go first. Within a priority the
+organisations take turns, and the queue of an organisation is ordered by
+deadline, the earliest first.
 """
 
 from topazring.core import admission
@@ -10,12 +11,12 @@
 
 __all__ = [
     'add',
-    'count_ahead',
     'count',
-    'service_order',
+    'count_ahead',
+    'dequeue',
     'has_any',
     'remove',
-    'dequeue',
+    'service_order',
 ]
 
 
@@ -26,7 +27,7 @@
 
 
 def add(state: states.GroupState, work: states.Work) -> int | None:
-    """Add a request; return the key of one that has to leave for it."""
+    """Add a request; return the key of the one evicted for it, if any."""
     policy = work.request.policy
     queues = _queues(state, work.primary_only)
     queue = queues.get(policy.priority)
@@ -40,7 +41,7 @@
 
 
 def remove(state: states.GroupState, work: states.Work) -> None:
-    """Take out a request that no longer waits."""
+    """Remove a request that no longer waits."""
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
     admission.remove(queue, policy.database, work.request.key)
@@ -48,31 +49,36 @@
 
 
 def has_any(state: states.GroupState, primary_only: bool) -> bool:
-    """Say whether any request waits for the primary, or for whichever."""
+    """Return whether any request waits for the primary, or for any upstream.
+
+    `primary_only` selects which of the two kinds of queues is examined.
+    """
     queues = _queues(state, primary_only)
     return any(admission.size(queue) for queue in queues.values())
 
 
 def service_order(state: states.GroupState, primary_only: bool) -> list[int]:
-    """Return the waiting requests in the order in which to serve them."""
+    """Return the keys of the waiting requests in the order of service."""
     keys = []
     queues = _queues(state, primary_only)
     for priority in sorted(queues):
         lines = queues[priority].lines
-        order = [sorted(lines[name]) for name in queues[priority].turns]
-        depth = max((len(line) for line in order), default=0)
-        for turn in range(depth):
-            keys += [line[turn][1] for line in order if turn < len(line)]
+        ordered = [sorted(lines[name]) for name in queues[priority].turns]
+        longest = max((len(entries) for entries in ordered), default=0)
+        for turn in range(longest):
+            keys += [
+                entries[turn][1] for entries in ordered if turn < len(entries)
+            ]
     return keys
 
 
 def dequeue(state: states.GroupState, now_ms: int, work: states.Work) -> None:
-    """Take a request out of its line because it goes to work."""
+    """Remove a request from its queue because it is being started."""
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
     if queue.turns and queue.turns[0] == policy.database:
-        line = queue.lines[policy.database]
-        if line[0][1] == work.request.key:
+        entries = queue.lines[policy.database]
+        if entries[0][1] == work.request.key:
             admission.pop(queue, now_ms)
             work.queued = False
             return
@@ -80,7 +86,7 @@
 
 
 def count(state: states.GroupState) -> int:
-    """Return how many requests wait."""
+    """Return the number of waiting requests."""
     return sum(
         admission.size(queue)
         for queues in (state.primary_queues, state.any_queues)
@@ -91,7 +97,7 @@
 def count_ahead(
     state: states.GroupState, primary_only: bool, policy: messages.Policy
 ) -> int:
-    """Return how many waiting requests go before a new one of a policy."""
+    """Return how many waiting requests precede a new one of a policy."""
     ahead = 0
     for priority, queue in _queues(state, primary_only).items():
         if priority < policy.priority:
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -1,4 +1,4 @@
-"""Take in what upstreams answered."""
+"""Process the replies of upstreams and the end of connections."""
 
 import collections.abc
 
@@ -22,21 +22,23 @@
 __all__ = [
     'LAGGING_PAUSE_MS',
     'handle_closed',
-    'record_log_positions',
     'handle_replies',
+    'record_log_positions',
 ]
 
 Reason = outcomes.Reason
 Code = statements.Code
 SessionState = statements.SessionState
 
-# A full upstream has room again after about one statement.
+# An upstream whose queue was full has capacity again after about one
+# statement.
 BUSY_PAUSE_MS = 15
-# How long to look for the next primary before a request is sent again.
+# Time allowed for finding the next primary before a request that was refused
+# as read-only is sent again.
 READ_ONLY_PAUSE_MS = 5
-# A replica that lacked a place is not asked for it again until then, a usual
-# lag being 60 ms. The pause doubles each time: one that applies a hundred
-# times as late as usual refused a tenth of all that was sent.
+# A replica that lacked a log position gets no reads of it for this long; the
+# usual lag is 60 ms. The pause doubles each time: a replica whose lag was a
+# hundred times the usual refused a tenth of all commands sent.
 LAGGING_PAUSE_MS = 80
 MAX_LAGGING_PAUSE_MS = 1280
 SERVICE_WEIGHT = 0.1
@@ -45,14 +47,14 @@
 Handler = collections.abc.Callable[
     [states.GroupState, int, states.Connection, messages.Replied], list
 ]
-_errands: dict[states.Errand, Handler] = {}
+_handlers: dict[states.Errand, Handler] = {}
 
 
-def _handles(
-    errand: states.Errand,
+def _handler_for(
+    purpose: states.Errand,
 ) -> collections.abc.Callable[[Handler], Handler]:
     def register(handler: Handler) -> Handler:
-        _errands[errand] = handler
+        _handlers[purpose] = handler
         return handler
 
     return register
@@ -64,9 +66,9 @@
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
-    """Take in the replies to what a connection was sent."""
+    """Process the replies to the commands sent on a connection."""
     outs = record_log_positions(state, now_ms, connection, message.replies)
-    handler = _errands[connection.errand]
+    handler = _handlers[connection.errand]
     return outs + handler(state, now_ms, connection, message)
 
 
@@ -76,19 +78,20 @@
     connection: states.Connection,
     replies: tuple[statements.Reply, ...],
 ) -> list:
-    """Learn from replies who leads, and where logs stand.
+    """Record leadership and log positions reported in replies.
 
-    A plain BEGIN succeeds only at an upstream that led in its own eyes after
-    it was sent. The place behind it is a sample once nobody else did.
+    A plain BEGIN succeeds only at an upstream that considered itself the
+    primary after the command was sent. The log position in the reply becomes
+    a sample once it is proved that no other upstream led then.
     """
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None or not replies:
         return []
-    told = [reply.place for reply in replies if reply.place is not None]
-    last = told[-1] if told else None
-    primary.note_place(state, now_ms, upstream, last)
-    if last is not None:
-        confirmations.note_place(upstream, connection.sent_ms, last)
+    positions = [reply.place for reply in replies if reply.place is not None]
+    newest = positions[-1] if positions else None
+    primary.note_place(state, now_ms, upstream, newest)
+    if newest is not None:
+        confirmations.note_place(upstream, connection.sent_ms, newest)
     outs: list = []
     for command, reply in zip(connection.commands, replies, strict=False):
         if not isinstance(command, statements.Begin) or command.read_only:
@@ -107,9 +110,9 @@
     return outs
 
 
-@_handles(states.Errand.GUARD)
-@_handles(states.Errand.UNDOING)
-def _after_errand(
+@_handler_for(states.Errand.GUARD)
+@_handler_for(states.Errand.UNDOING)
+def _release_connection(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -118,8 +121,8 @@
     return settling.release(state, now_ms, connection, message.replies[-1])
 
 
-@_handles(states.Errand.LOOK)
-def _looked(
+@_handler_for(states.Errand.LOOK)
+def _after_status_query(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -137,8 +140,8 @@
     return outs
 
 
-@_handles(states.Errand.BEGINNING)
-def _begun(
+@_handler_for(states.Errand.BEGINNING)
+def _after_begin(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -151,7 +154,8 @@
     if refusal is None and last.code is not None:
         refusal = last
     if work is None or refusal is not None and last.code is None:
-        # Begun for nobody, or behind a guard that was refused.
+        # The caller is gone, or a leadership check was refused before this
+        # BEGIN succeeded.
         connections.make_idle(connection, now_ms)
         outs = dispatch.roll_back(state, now_ms, connection)
     elif refusal is not None:
@@ -161,18 +165,20 @@
     if work is None:
         return outs
     work.running.discard(connection.number)
-    return outs + _not_run(state, now_ms, work, connection, refusal, commands)
+    return outs + _requeue_not_run(
+        state, now_ms, work, connection, refusal, commands
+    )
 
 
-@_handles(states.Errand.STATEMENT)
-def _ran(
+@_handler_for(states.Errand.STATEMENT)
+def _after_statement(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
     last = message.replies[-1]
-    _note_service(state, now_ms, connection, last)
+    _record_service_time(state, now_ms, connection, last)
     work = state.work.get(connection.work)
     commands = connection.commands
     refusal = exchanges.first_refusal(commands, message.replies)
@@ -184,20 +190,25 @@
         return outs
     work.running.discard(connection.number)
     if work.ready is not None:
-        # A copy of a read whose answer waits for its proof.
+        # Another copy of this read has been answered already, and its answer
+        # waits for a leadership proof.
         return outs
     if refusal is not None and not work.request.writes:
-        return outs + _not_run(
+        return outs + _requeue_not_run(
             state, now_ms, work, connection, refusal, commands
         )
     if last.code is None:
-        return outs + _done(state, now_ms, work, connection, last, commands)
+        return outs + _succeeded(
+            state, now_ms, work, connection, last, commands
+        )
     if last.code in (Code.FAILED, Code.TIMEOUT, Code.OTHER):
         return outs + _failed(state, now_ms, work, connection, last)
-    return outs + _not_run(state, now_ms, work, connection, last, commands)
+    return outs + _requeue_not_run(
+        state, now_ms, work, connection, last, commands
+    )
 
 
-def _note_service(
+def _record_service_time(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -215,7 +226,7 @@
     retries.earn(state.budget)
 
 
-def _done(
+def _succeeded(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
@@ -235,7 +246,7 @@
     return completion.answer_success(state, work, connection, reply, needs_ms)
 
 
-def _not_run(
+def _requeue_not_run(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
@@ -243,14 +254,15 @@
     reply: statements.Reply,
     commands: tuple[statements.Command, ...],
 ) -> list:
-    """Send a request elsewhere, or again, that certainly did not run.
+    """Requeue a request that certainly did not run.
 
-    `commands` are those that were sent; the connection has forgotten them.
+    `commands` are the commands that were sent; the connection no longer
+    holds them.
     """
     upstream = state.upstreams.get(connection.upstream)
     if reply.code is Code.LAGGING:
         if upstream is not None:
-            _note_lacked(now_ms, upstream, commands)
+            _record_lagging(now_ms, upstream, commands)
         work.passed_over.add(connection.upstream)
         return completion.requeue(state, now_ms, work, Reason.REPLICA_BEHIND)
     if reply.code is Code.READ_ONLY:
@@ -261,7 +273,7 @@
             state, now_ms, work, Reason.REPLACED, READ_ONLY_PAUSE_MS
         )
     if reply.code is Code.NO_STATEMENT:
-        # Its prepared names are not what was believed.
+        # The recorded set of prepared names does not match the connection.
         connection.prepared.clear()
         return completion.requeue(state, now_ms, work, Reason.NO_STATEMENT)
     if reply.code is Code.BUSY:
@@ -274,12 +286,12 @@
     )
 
 
-def _note_lacked(
+def _record_lagging(
     now_ms: int,
     upstream: states.Upstream,
     commands: tuple[statements.Command, ...],
 ) -> None:
-    """Take in which place a replica lacked, and leave it alone for longer."""
+    """Record the log position that a replica lacked, and extend its pause."""
     for command in commands:
         after = getattr(command, 'after', None)
         if after is not None:
@@ -298,7 +310,7 @@
     connection: states.Connection,
     reply: statements.Reply,
 ) -> list:
-    """Answer a request that ran and failed; try a read elsewhere."""
+    """Answer a request that ran and failed, or retry a read elsewhere."""
     if work.running:
         return []
     if not work.request.writes and retries.spend(state.budget):
@@ -316,38 +328,43 @@
     connection: states.Connection,
     message: messages.Closed,
 ) -> list:
-    """Take in the end of a connection and what it means for its work."""
+    """Process the end of a connection and complete or requeue its request."""
     outs = record_log_positions(state, now_ms, connection, message.replies)
     outs += connections.closed(state, now_ms, connection, message)
     work = state.work.get(connection.work)
     if work is None or work.running or work.ready is not None:
         return outs
-    return outs + _lost(state, now_ms, connection, work, message.reason)
+    return outs + _connection_lost(
+        state, now_ms, connection, work, message.reason
+    )
 
 
-def _lost(
+def _connection_lost(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
     work: states.Work,
     reason: outcomes.Reason,
 ) -> list:
-    """Judge a request whose connection ended before its answer."""
+    """Complete or requeue a request whose connection ended unanswered."""
     request = work.request
-    begun = connection.errand is states.Errand.STATEMENT
+    was_sent = connection.errand is states.Errand.STATEMENT
     if request.goes_on:
-        # Before its COMMIT the transaction is undone with its connection.
-        commits = request.statement.verb is statements.Verb.COMMIT
+        # Until its COMMIT is sent, the end of the connection rolls the
+        # transaction back.
+        is_commit = request.statement.verb is statements.Verb.COMMIT
         return completion.give_up(
             state,
             now_ms,
             work,
-            reason if commits else Reason.TRANSACTION_LOST,
+            reason if is_commit else Reason.TRANSACTION_LOST,
             0,
             maybe_ran=True,
         )
-    if completion.has_no_lasting_effect(work) or not begun:
+    if completion.has_no_lasting_effect(work) or not was_sent:
         if retries.spend(state.budget):
             work.passed_over.add(connection.upstream)
             return completion.requeue(state, now_ms, work, reason)
-    return completion.give_up(state, now_ms, work, reason, 0, maybe_ran=begun)
+    return completion.give_up(
+        state, now_ms, work, reason, 0, maybe_ran=was_sent
+    )
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -1,4 +1,4 @@
-"""Choose the upstream, and the connection, that serves a request soonest."""
+"""Choose the upstream and connection expected to serve a request soonest."""
 
 import dataclasses
 
@@ -12,6 +12,7 @@
 
 __all__ = [
     'ReadCapacity',
+    'accepts_request',
     'best_connection',
     'candidates',
     'choose_connection',
@@ -19,75 +20,75 @@
     'filter_fresh',
     'fresh_upstreams',
     'read_capacity',
-    'accepts_request',
 ]
 
 # A read goes to another data centre, or to the primary, only if it is
-# served sooner there by this. Bytes between data centres cost money and the
-# primary alone can take writes; both are worth some waiting, and a typical
-# statement takes 10 to 20 ms.
+# expected to be served sooner there by this much. Traffic between data
+# centres costs money, and only the primary can take writes; avoiding either
+# justifies some waiting. A typical statement takes 10 to 20 ms.
 REMOTE_COST_MS = 12.0
 PRIMARY_COST_MS = 6.0
-# A replica that hung for some seconds is tried again within about three.
+# Half-life of a high service time: a replica that hung for some seconds is
+# tried again within about three seconds.
 SERVICE_HALF_LIFE_MS = 500
 
 
 def candidates(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list[states.Upstream]:
-    """Return the upstreams that may serve a request, as far as is known."""
+    """Return the upstreams that may serve a request, as far as known."""
     primary = state.upstreams.get(state.primary)
-    only = [] if primary is None else [primary]
+    primary_alone = [] if primary is None else [primary]
     if work.primary_only:
-        return only
-    place = freshness.required_place(state, work.request)
-    if place is None:
-        return only
-    return fresh_upstreams(state, now_ms, work, place) or only
+        return primary_alone
+    position = freshness.required_place(state, work.request)
+    if position is None:
+        return primary_alone
+    return fresh_upstreams(state, now_ms, work, position) or primary_alone
 
 
 def fresh_upstreams(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    place: places.Place,
+    position: places.Place,
 ) -> list[states.Upstream]:
-    """Return the upstreams that may serve a read that has to see a place."""
+    """Return the upstreams that may serve a read at a log position."""
     readable = _readable(state, now_ms)
-    return filter_fresh(state, now_ms, work, place, readable)
+    return filter_fresh(state, now_ms, work, position, readable)
 
 
 def filter_fresh(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    place: places.Place,
+    position: places.Place,
     readable: list[states.Upstream],
 ) -> list[states.Upstream]:
-    """Return those of the readable upstreams that are fresh enough."""
+    """Return the readable upstreams that are fresh enough for a request."""
     return [
         upstream
         for upstream in readable
         if upstream.name not in work.passed_over
-        and _has(state, now_ms, upstream, place)
+        and _may_hold(state, now_ms, upstream, position)
     ]
 
 
-def _has(
+def _may_hold(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    place: places.Place,
+    position: places.Place,
 ) -> bool:
-    """Say whether an upstream holds a place, as far as is known."""
-    if upstream.name == state.primary or upstream.place >= place:
+    """Return whether an upstream may have applied its log to a position."""
+    if upstream.name == state.primary or upstream.place >= position:
         return True
-    lacks = states.lacks_lately(upstream, now_ms)
-    return not (lacks and upstream.lacked <= place)
+    is_lagging = states.lacks_lately(upstream, now_ms)
+    return not (is_lagging and upstream.lacked <= position)
 
 
 def _readable(state: states.GroupState, now_ms: int) -> list[states.Upstream]:
-    """Return the upstreams that serve reads, whatever these have to see."""
+    """Return the upstreams that serve reads, regardless of freshness."""
     return [
         upstream
         for upstream in state.upstreams.values()
@@ -107,15 +108,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadCapacity:
-    """Hold what is the same for all that wait, until one is served."""
+    """Hold the read capacity; it is valid until a request is started."""
 
     readable: list[states.Upstream]
-    # The names of those of them that take another request now.
+    # Names of the readable upstreams that accept another request now.
     free: frozenset[str]
 
 
 def read_capacity(state: states.GroupState, now_ms: int) -> ReadCapacity:
-    """Return which upstreams serve reads, and which have room."""
+    """Return the upstreams that serve reads and those with free capacity."""
     readable = _readable(state, now_ms)
     free = frozenset(
         upstream.name
@@ -128,9 +129,9 @@
 def accepts_request(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether an upstream takes another request, whichever it is."""
+    """Return whether an upstream can accept another request."""
     if upstream.busy_until_ms > now_ms:
-        # Asked again at once it would refuse hundreds of times.
+        # Sending again at once would lead to hundreds of refusals.
         return False
     if not states.idle_connections(state, upstream.name):
         return False
@@ -140,13 +141,13 @@
 def choose_connection(
     state: states.GroupState,
     now_ms: int,
-    among: list[states.Upstream],
+    fresh: list[states.Upstream],
     work: states.Work,
 ) -> states.Connection | None:
     """Return a free connection to the upstream expected to answer first."""
     free = [
         upstream
-        for upstream in among
+        for upstream in fresh
         if accepts_request(state, now_ms, upstream)
     ]
     return choose_free_connection(state, now_ms, free, work) if free else None
@@ -158,28 +159,28 @@
     free: list[states.Upstream],
     work: states.Work,
 ) -> states.Connection:
-    """Return a connection to one of some upstreams, all of which have room."""
+    """Return a connection to one of several upstreams with free capacity."""
     if len(free) == 1:
         return best_connection(state, free[0].name, work.request)
     first = min(
         free,
         key=lambda upstream: (
-            _stalled(state, now_ms, upstream),
-            _expected_ms(state, now_ms, upstream),
+            _is_stalled(state, now_ms, upstream),
+            _expected_wait_ms(state, now_ms, upstream),
             upstream.name,
         ),
     )
     return best_connection(state, first.name, work.request)
 
 
-def _expected_ms(
+def _expected_wait_ms(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> float:
     in_use = sum(
         connection.phase is states.Phase.BUSY
         for connection in states.connections_to(state, upstream.name)
     )
-    expected_ms = _service_ms(now_ms, upstream) * (1 + 0.5 * in_use)
+    expected_ms = _expected_service_ms(now_ms, upstream) * (1 + 0.5 * in_use)
     if upstream.data_centre != state.data_centre:
         expected_ms += REMOTE_COST_MS
     if upstream.name == state.primary:
@@ -187,11 +188,12 @@
     return expected_ms
 
 
-def _service_ms(now_ms: int, upstream: states.Upstream) -> float:
-    """Return how long a statement is expected to take at an upstream.
+def _expected_service_ms(now_ms: int, upstream: states.Upstream) -> float:
+    """Return the expected service time of a statement at an upstream, in ms.
 
-    One that was slow is not asked, so nothing tells that it is quick again:
-    what exceeds a typical time counts half after each half-life.
+    A slow upstream gets no requests, so no measurement shows that it has
+    recovered. Its excess over the typical service time therefore decays with
+    a half-life of `SERVICE_HALF_LIFE_MS`.
     """
     excess_ms = upstream.service_ms - states.TYPICAL_MS
     if excess_ms <= 0:
@@ -202,12 +204,13 @@
     )
 
 
-def _stalled(
+def _is_stalled(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether an upstream has left something unanswered for long.
+    """Return whether commands to an upstream have been unanswered for long.
 
-    Any later answer of it clears that: then the connection is at fault.
+    Any reply received since they were sent clears this: the connection is at
+    fault then, not the upstream.
     """
     limit_ms = pace.late_after_ms(upstream)
     return any(
@@ -221,7 +224,7 @@
 def best_connection(
     state: states.GroupState, upstream: str, request: messages.Request
 ) -> states.Connection | None:
-    """Return the free connection that needs the least adapting."""
+    """Return the free connection that needs the fewest setup commands."""
     free = states.idle_connections(state, upstream)
     if not free:
         return None
