--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -13,8 +13,8 @@
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import request_queues
-from topazring.core.synchronous import settling
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
@@ -108,7 +108,7 @@
     if needs_ms is None:
         return answer(state, work, outcome)
     at_primary = connection.upstream == state.primary
-    if at_primary and needs_ms <= proofs.proven_ms(state):
+    if at_primary and needs_ms <= proofs.proven_until_ms(state):
         return answer(state, work, outcome)
     work.needs_ms = needs_ms
     return _hold_for_proof(state, work, outcome, needs_ms)
@@ -136,7 +136,7 @@
     """Hold an answer until leadership is proved for a time or later."""
     work.ready = outcome
     state.held.add(work.request.key)
-    proofs.want(state, at_ms)
+    proofs.request_proof(state, at_ms)
     return []
 
 
@@ -163,7 +163,7 @@
     upstream = state.upstreams.get(connection.upstream)
     if upstream is not None:
         upstream.confirmed_ms = now_ms
-    if confirmations.is_sound(state, now_ms, confirmation):
+    if confirmations.is_durable(state, now_ms, confirmation):
         return _acknowledge(state, now_ms, work, confirmation, outcome)
     work.confirmation = confirmation
     state.counters['write_held'] += 1
@@ -177,7 +177,7 @@
     confirmation: known_places.Confirmation,
     outcome: outcomes.Done,
 ) -> list:
-    settling.note_confirmed(state, confirmation)
+    reply_effects.note_confirmed(state, confirmation)
     state.unsure_ms = states.NEVER_MS
     events = _acknowledged_events(state, now_ms, work, confirmation)
     return events + answer(state, work, outcome)
@@ -234,7 +234,7 @@
             outs += _acknowledge_if_durable(state, now_ms, work)
     # A write acknowledged just now also proves leadership for the reads
     # that came before it.
-    proven = proofs.proven_ms(state)
+    proven = proofs.proven_until_ms(state)
     for key in sorted(state.held):
         work = state.work[key]
         if work.confirmation is None and work.needs_ms <= proven:
@@ -247,7 +247,7 @@
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     confirmation = work.confirmation
-    if not confirmations.is_sound(state, now_ms, confirmation):
+    if not confirmations.is_durable(state, now_ms, confirmation):
         return []
     state.held.discard(work.request.key)
     return _acknowledge(state, now_ms, work, confirmation, work.ready)
@@ -263,7 +263,7 @@
     """
     is_kept: bool | None = False
     if work.confirmation is not None:
-        is_kept = confirmations.is_carried_on(state, work.confirmation)
+        is_kept = confirmations.is_in_successor_log(state, work.confirmation)
     if is_kept is None:
         return []
     state.held.discard(work.request.key)
