--- a/topazring/core/synchronous/tests/test_forwarding.py
+++ b/topazring/core/synchronous/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Bring requests to proxies that can serve them."""
+"""Test the choice of owners and the forwarding of requests to them."""
 
 import testtools
 
@@ -21,16 +21,16 @@
     return [ownership.Proxy(f'p{n}', CENTRES[n % 3]) for n in range(count)]
 
 
-def idle(place: str) -> float:
-    """Reach everyone, all idle."""
+def idle(owner: str) -> float:
+    """Return the load of an idle, reachable owner."""
     return 0.0
 
 
 class OwnershipTest(testtools.TestCase):
-    """Many proxies before few connections: some of them hold all."""
+    """With many proxies and few connections, only some proxies own them."""
 
-    def test_all_connections_that_owners_take_are_there(self):
-        """No owner is without one, and some room is left."""
+    def test_owners_shares_fit_into_the_limit(self):
+        """Each owner has connections, and some are left in reserve."""
         for count, most in ((74, 23), (68, 34), (64, 94), (300, 23)):
             owned = ownership.select_owners('s', proxies(count), most)
             shares = [
@@ -41,20 +41,20 @@
             self.assertGreaterEqual(min(shares), 3)
 
     def test_few_proxies_own_everything(self):
-        """Each serves its own callers, and no request makes a hop."""
+        """Each proxy serves its own callers, and no request is forwarded."""
         for count, most in ((9, 16), (8, 23), (7, 30)):
             owned = ownership.select_owners('s', proxies(count), most)
             self.assertEqual(count, len(owned.owners))
 
     def test_owners_are_spread_over_data_centres(self):
-        """Most callers find one in their own."""
+        """Most callers have an owner in their own data centre."""
         owned = ownership.select_owners('s', proxies(74), 23)
         centres = [owner.data_centre for owner in owned.owners]
         counts = sorted(centres.count(centre) for centre in CENTRES)
         self.assertEqual([1, 2, 2], counts)
 
-    def test_services_have_other_owners(self):
-        """The work of all services is not on the same five."""
+    def test_services_have_different_owners(self):
+        """The work of all services is not concentrated on the same five."""
         owners = {
             owner.name
             for service in 'wxyz'
@@ -64,21 +64,20 @@
         }
         self.assertGreater(len(owners), 10)
 
-    def test_one_that_leaves_moves_only_its_own(self):
-        """The others keep their connections."""
+    def test_owner_that_leaves_moves_only_its_own_share(self):
+        """The other owners keep their connections."""
         everyone = proxies(74)
         before = ownership.select_owners('s', everyone, 23).owners
         left = [proxy for proxy in everyone if proxy != before[0]]
         after = ownership.select_owners('s', left, 23).owners
         self.assertGreaterEqual(len(set(before) & set(after)), 4)
 
-    def test_others_hold_no_connection(self):
-        """Those would be taken from the owners.
+    def test_proxy_that_is_no_owner_holds_no_connection(self):
+        """Its connections would be missing at the owners.
 
-        Symptom: two thirds of all requests are refused although upstreams
-        are idle. Sequence: 74 proxies dial one connection each; an upstream
-        takes 23; 51 proxies have none and serve nobody. Cause: at least one
-        for each proxy.
+        Guards against refusing two thirds of all requests while upstreams are
+        idle: if each of 74 proxies dials one connection and an upstream
+        accepts 23, then 51 proxies have none and can serve no request.
         """
         driver = support.Driver()
         driver.post(messages.InstancesSeen(5, 23, None))
@@ -87,7 +86,7 @@
         self.assertEqual([], dials)
 
     def test_holder_of_the_duty_sees_the_members(self):
-        """It promotes, so it has to ask them, owner or not."""
+        """It promotes, so it has to query the members, owner or not."""
         driver = support.Driver()
         driver.post(messages.InstancesSeen(5, 23, None))
         driver.post(messages.DutySeen(True, 100))
@@ -98,14 +97,14 @@
 
 
 class ForwardingTest(testtools.TestCase):
-    """A request goes on to the next place only if it did not run."""
+    """A request is forwarded to the next owner only if it did not run."""
 
     owned = ownership.Ownership(
         tuple(ownership.Proxy(f'o{n}', CENTRES[n % 3]) for n in range(5))
     )
 
-    def place(self, plan, name='p1', centre='b', weigh=idle, turn=0):
-        """Return where a request goes next."""
+    def next_owner(self, plan, name='p1', centre='b', weigh=idle, turn=0):
+        """Return the owner that is tried next."""
         return forwarding.next_owner(
             plan, self.owned, name, centre, weigh, turn
         )
@@ -122,97 +121,101 @@
         )
 
     def test_owner_serves_its_own_callers(self):
-        """Without a hop."""
+        """Requests of its callers are not forwarded."""
         plan = forwarding.Plan()
-        self.assertEqual(forwarding.THIS_PROXY, self.place(plan, name='o3'))
+        self.assertEqual(
+            forwarding.THIS_PROXY, self.next_owner(plan, name='o3')
+        )
 
     def test_own_data_centre_first(self):
-        """Bytes between data centres cost money."""
+        """Traffic between data centres costs money."""
         plan = forwarding.Plan()
-        self.assertIn(self.place(plan), ('o1', 'o4'))
+        self.assertIn(self.next_owner(plan), ('o1', 'o4'))
 
     def test_turns_spread_the_load(self):
-        """Over the owners of a data centre."""
+        """Requests are spread over the owners of a data centre."""
         plan = forwarding.Plan()
-        found = {self.place(plan, turn=turn) for turn in range(4)}
+        found = {self.next_owner(plan, turn=turn) for turn in range(4)}
         self.assertEqual({'o1', 'o4'}, found)
 
-    def test_only_owner_of_a_data_centre_is_not_swamped(self):
-        """Others serve while it has a line.
+    def test_only_owner_of_a_data_centre_is_not_overloaded(self):
+        """Owners elsewhere serve requests while it has a queue.
 
-        Symptom: a third of one data centre's requests wait for their whole
-        time, on a busy day, while other owners are idle. Sequence: five
-        owners in three data centres; one has a single owner, which gets all
-        of its callers. Cause: the own data centre first, at any price.
+        Guards against a third of one data centre's requests waiting until
+        their deadline on a busy day while other owners are idle: of five
+        owners in three data centres, one is alone in its data centre and gets
+        all its callers if the own data centre is always preferred.
         """
         plan = forwarding.Plan()
-        found = self.place(
+        found = self.next_owner(
             plan, centre='c', weigh=lambda n: 12.0 if n == 'o2' else 0.0
         )
         self.assertNotEqual('o2', found)
 
-    def test_busy_owner_lets_its_own_callers_go(self):
-        """It is no better than another one that is idle."""
+    def test_busy_owner_forwards_its_own_callers(self):
+        """An idle owner elsewhere serves them sooner."""
         plan = forwarding.Plan()
         busy = {forwarding.THIS_PROXY: 12.0}
-        found = self.place(plan, name='o3', weigh=lambda n: busy.get(n, 0.0))
+        found = self.next_owner(
+            plan, name='o3', weigh=lambda n: busy.get(n, 0.0)
+        )
         self.assertNotEqual(forwarding.THIS_PROXY, found)
 
-    def test_what_was_told_of_a_line_ages(self):
-        """One that is not asked any more is tried again."""
+    def test_reported_queue_length_decays(self):
+        """An owner that gets no more requests is tried again later."""
         load = forwarding.Load(waiting=16, reported_ms=1000)
         self.assertEqual(16, load.expected_ahead(1000))
         later_ms = 1000 + 5 * forwarding.LOAD_HALF_LIFE_MS
         self.assertLess(load.expected_ahead(later_ms), forwarding.HOP_COST)
 
-    def test_unreachable_owner_is_left_out(self):
-        """Another data centre serves instead."""
+    def test_unreachable_owner_is_skipped(self):
+        """An owner in another data centre serves instead."""
         plan = forwarding.Plan()
-        unreached = {'o1': None, 'o4': None}
-        found = self.place(plan, weigh=lambda n: unreached.get(n, 0.0))
+        unreachable = {'o1': None, 'o4': None}
+        found = self.next_owner(plan, weigh=lambda n: unreachable.get(n, 0.0))
         self.assertIn(found, ('o0', 'o2', 'o3'))
 
-    def test_owner_that_cannot_sends_it_on(self):
-        """It may be cut off with a primary that was replaced.
+    def test_owner_that_cannot_serve_forwards(self):
+        """An owner may be cut off together with a replaced primary.
 
-        Symptom: two thirds of all proxies refuse writes for seven seconds
-        while the others serve. Sequence: a primary is cut off with them and
-        replaced. Cause: serving only what one reaches oneself.
+        Guards against two thirds of all proxies refusing writes for seven
+        seconds while the others serve them: these proxies were cut off with
+        the replaced primary and used only upstreams they reach themselves.
         """
         plan = forwarding.Plan([forwarding.THIS_PROXY])
         refusal = outcomes.NotRun(Reason.NO_PRIMARY, 50)
         self.assertFalse(forwarding.is_final(self.request(), refusal))
-        self.assertIsNotNone(self.place(plan, name='o3'))
+        self.assertIsNotNone(self.next_owner(plan, name='o3'))
 
     def test_other_refusals_are_final(self):
-        """The owners together have no more room than one of them."""
+        """The owners together have no more capacity than one of them."""
         refusal = outcomes.NotRun(Reason.OVERLOAD, 50)
         self.assertTrue(forwarding.is_final(self.request(), refusal))
 
     def test_statement_of_a_transaction_stays(self):
-        """Its connection is there."""
+        """The proxy that began it holds its connection."""
         later = self.request(transaction=7)
         refusal = outcomes.NotRun(Reason.NO_PRIMARY, 50)
         self.assertTrue(forwarding.is_final(later, refusal))
 
-    def test_no_circles(self):
-        """Each place is tried once, and only some."""
+    def test_no_loops(self):
+        """Each owner is tried once, and the number of attempts is limited."""
         refusal = outcomes.NotRun(Reason.NO_PRIMARY, 50)
         plan = forwarding.Plan(last=refusal)
         seen = []
-        while (place := self.place(plan, name='o3')) is not None:
-            seen.append(place)
-            plan.tried.append(place)
+        while (owner := self.next_owner(plan, name='o3')) is not None:
+            seen.append(owner)
+            plan.tried.append(owner)
         self.assertEqual(len(set(seen)), len(seen))
         self.assertEqual(forwarding.MAX_ATTEMPTS, len(seen))
         self.assertIs(refusal, forwarding.final_outcome(plan))
 
     def test_lost_link(self):
-        """What may have run is not run again.
+        """A request that may have run is not run again.
 
-        Symptom: a save lands twice. Sequence: an owner runs it and loses its
-        power before it answers; the entry asks the next owner. Cause: taking
-        a lost link for a refusal.
+        Guards against a write taking effect twice: an owner runs it and loses
+        power before it answers, and the entry sends the write to the next
+        owner as if the first one had refused it.
         """
         commit = self.request(Verb.COMMIT, transaction=7)
         later = self.request(Verb.READ, transaction=7)
@@ -234,10 +237,10 @@
             else:
                 self.assertIsInstance(found, expected)
 
-    def test_nobody_can_be_reached(self):
-        """Said at once, with when to come back."""
+    def test_no_owner_is_reachable(self):
+        """The request is refused at once with a retry delay."""
         plan = forwarding.Plan()
-        self.assertIsNone(self.place(plan, weigh=lambda name: None))
+        self.assertIsNone(self.next_owner(plan, weigh=lambda owner: None))
         refusal = forwarding.final_outcome(plan)
         self.assertIs(Reason.NO_OWNER, refusal.reason)
         self.assertGreater(refusal.retry_after_ms, 0)
--- a/topazring/core/synchronous/tests/test_load.py
+++ b/topazring/core/synchronous/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Refuse at once what cannot be served."""
+"""Test that requests that cannot be served in time are refused at once."""
 
 import testtools
 
@@ -15,21 +15,21 @@
 
 
 class OverloadTest(testtools.TestCase):
-    """Pattern: more comes than the connections of this proxy carry."""
+    """More requests arrive than the connections of this proxy can serve."""
 
     def flood(self, driver: support.Driver, count: int, **more) -> list:
         """Submit many reads at once."""
         outs = []
         for _ in range(count):
-            _, said = driver.submit(support.EXACT, **more)
-            outs += said
+            _, new_outs = driver.submit(support.EXACT, **more)
+            outs += new_outs
         return outs
 
-    def test_refused_at_once_when_the_line_is_too_long(self):
-        """Two connections and 15 ms a statement: 90 wait, 0.6 s ahead.
+    def test_refused_at_once_when_the_queue_is_too_long(self):
+        """With two connections and 15 ms a statement, 90 wait: 0.6 s.
 
-        The rest is told so on arrival, with when to come back, and none
-        waits for its deadline first.
+        The others are refused on arrival with a retry delay; none waits until
+        its deadline first.
         """
         driver = support.Driver().ready()
         outs = self.flood(driver, 200)
@@ -42,8 +42,8 @@
         expected_ms = waiting * 15 / 2
         self.assertLess(expected_ms, support.EXACT.timeout_ms)
 
-    def test_urgent_goes_first(self):
-        """Priority 0 passes all that waits with priority 2."""
+    def test_higher_priority_goes_first(self):
+        """A request of priority 0 precedes all waiting ones of priority 2."""
         driver = support.Driver().ready()
         later = messages.Policy(
             'later', 's', messages.Freshness.PRIMARY, priority=2
@@ -59,7 +59,7 @@
         self.assertIn(connection.number, driver.state.work[key].running)
 
     def test_organisations_take_turns(self):
-        """One that floods lengthens only its own line."""
+        """An organisation that floods lengthens only its own queue."""
         driver = support.Driver().ready()
         flooding = messages.Policy('flood', 's', messages.Freshness.PRIMARY)
         quiet = messages.Policy('quiet', 's', messages.Freshness.PRIMARY)
@@ -72,8 +72,8 @@
             outs += driver.answer_guards()
         self.assertIn(key, support.answers(outs))
 
-    def test_full_upstream_is_left_alone_for_a_moment(self):
-        """It sheds what it cannot queue; nothing of that ran."""
+    def test_full_upstream_gets_no_requests_for_a_moment(self):
+        """An upstream refuses what it cannot queue, without running it."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT)
         connection = driver.busy('u1')[0]
@@ -84,25 +84,25 @@
         self.assertEqual(1, len(support.sends(outs)))
 
 
-class ProspectsTest(testtools.TestCase):
-    """Pattern: the primary is gone and requests for it go on coming."""
+class LostPrimaryTest(testtools.TestCase):
+    """The primary is lost and requests for it keep arriving."""
 
     def lost(self, for_ms: int) -> support.Driver:
-        """Return a core whose primary has been gone for so long."""
+        """Return a core whose primary has been lost for some time."""
         driver = support.Driver().ready()
         driver.state.primary = ''
         driver.state.primary_lost_ms = driver.now_ms - for_ms
         driver.state.gap_ms = 1000.0
         return driver
 
-    def test_waits_for_a_primary_that_comes_in_time(self):
-        """Its caller's other tries would meet the same gap."""
+    def test_waits_for_a_primary_expected_in_time(self):
+        """Retries of the caller would meet the same outage."""
         driver = self.lost(for_ms=500)
         key, outs = driver.submit(support.EXACT, Verb.WRITE)
         self.assertEqual({}, support.answers(outs))
 
-    def test_refused_at_once_if_it_comes_too_late(self):
-        """With when to come back: then the gap is expected to be over."""
+    def test_refused_at_once_if_primary_is_expected_too_late(self):
+        """The retry delay extends to the expected end of the outage."""
         driver = self.lost(for_ms=0)
         key, outs = driver.submit(support.EXACT, Verb.WRITE)
         refused = support.answers(outs)[key]
@@ -110,12 +110,12 @@
         self.assertGreaterEqual(refused.retry_after_ms, 900)
 
     def test_refused_at_once_when_the_promotion_is_overdue(self):
-        """Then it is this proxy that is cut off, and another can serve.
+        """An overdue promotion means that this proxy itself is cut off.
 
-        Symptom: saves that fail at three of eight proxies for six seconds,
-        each after 0.8 s. Sequence: a primary is cut off with some proxies
-        and replaced on the other side. Cause: waiting for a primary that
-        others have long found.
+        Guards against writes failing at three of eight proxies for six
+        seconds, each after 0.8 s: a primary is cut off together with these
+        proxies and replaced on the other side, and they wait for a primary
+        that the other proxies found long ago.
         """
         driver = self.lost(for_ms=1500)
         key, outs = driver.submit(support.EXACT, Verb.WRITE)
@@ -123,12 +123,11 @@
         self.assertLess(refused.retry_after_ms, 100)
 
     def test_refused_at_once_when_the_primary_left_unreplaced(self):
-        """A primary that is closed to work serves nobody any more.
+        """A primary that is closed to new work counts as lost.
 
-        Symptom: every save of one group waits for its whole time and is
-        refused then, for seconds. Sequence: a primary leaves; its hand-over
-        hangs; it is closed to new work, well before its end. Cause: a
-        primary that answers did not count as lost.
+        Guards against every write of a group waiting until its deadline and
+        being refused then, for seconds: a primary is leaving, its hand-over
+        hangs, and it is closed to new work well before it stops answering.
         """
         driver = support.Driver().ready()
         driver.list_upstreams(leaving='u1', revision=2)
@@ -141,20 +140,19 @@
         self.assertIsInstance(outcome, outcomes.NotRun)
         self.assertEqual(outcomes.Reason.NO_PRIMARY, outcome.reason)
 
-    def test_reads_that_a_replica_may_serve_go_on(self):
-        """Only what needs the primary is refused."""
+    def test_reads_that_a_replica_may_serve_continue(self):
+        """Only requests that need the primary are refused."""
         driver = self.lost(for_ms=0)
         key, outs = driver.submit(support.BOUNDED)
         self.assertEqual({}, support.answers(outs))
         self.assertEqual(1, len(support.sends(outs)))
 
     def test_silent_primary_is_searched_for(self):
-        """Every proxy asks who leads; the list may be out of reach.
+        """Every proxy queries who leads, as the list may be unreachable.
 
-        Symptom: proxies that are cut off from the platform's service go on
-        with a primary that was replaced. Sequence: it goes dark for them;
-        another is promoted; nobody tells them. Cause: looking for a primary
-        only after a refusal.
+        Guards against proxies that are cut off from the platform's service
+        using a replaced primary: it becomes silent to them, another upstream
+        is promoted, and no refusal triggers a search for the new primary.
         """
         driver = support.Driver().ready()
         for _ in range(40):
@@ -166,29 +164,29 @@
 
 
 class DeadlineTest(testtools.TestCase):
-    """Each request gets its one answer in time."""
+    """Each request gets exactly one answer in time."""
 
-    def test_read_that_is_late_kept_nothing(self):
-        """A read keeps nothing, whatever became of it."""
+    def test_late_read_did_not_run(self):
+        """A read never has a lasting effect."""
         driver = support.Driver().ready()
         driver.state.budget.balance = 0.0
         key, _ = driver.submit(support.EXACT)
         answers = support.answers(driver.tick(840))
         self.assertIsInstance(answers[key], outcomes.NotRun)
 
-    def test_write_that_is_late_is_unknown(self):
-        """It may still take effect."""
+    def test_late_write_is_unknown(self):
+        """The write may still take effect."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         answers = support.answers(driver.tick(840))
         self.assertIsInstance(answers[key], outcomes.Unknown)
 
     def test_write_at_a_replaced_primary(self):
-        """Its answer cannot come any more, so its caller is told at once.
+        """Its answer can no longer arrive, so it is given up at once.
 
-        Symptom: a save hangs for 0.8 s although the next primary has long
-        been found. Sequence: a primary goes dark with a write under way;
-        another is promoted. Cause: waiting for the old one's answer.
+        Guards against a write hanging for 0.8 s although the next primary has
+        long been found: the old primary became silent while running the
+        write, and its answer was still waited for.
         """
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
@@ -201,8 +199,8 @@
         self.assertEqual('u2', driver.state.primary)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Unknown)
 
-    def test_idle_transaction_is_undone(self):
-        """Its connection is needed by others."""
+    def test_idle_transaction_is_rolled_back(self):
+        """Other requests need its connection."""
         driver = support.Driver().ready()
         key, _ = driver.submit(
             support.EXACT, Verb.WRITE, transaction=7, begins=True
@@ -223,11 +221,11 @@
         key, outs = driver.submit(support.EXACT, Verb.READ, transaction=7)
         self.assertIsInstance(support.answers(outs)[key], outcomes.NotRun)
 
-    def test_group_that_is_not_owned_rests(self):
+    def test_group_that_is_not_owned_ticks_rarely(self):
         """Hundreds of proxies tick for groups that few of them own.
 
-        What would be wrong: a fleet whose processors are busy with looking
-        at nothing. Whoever holds a connection, the duty or a request looks
+        Guards against wasting the fleet's processor time on idle groups. A
+        proxy that holds a connection, the promotion lease or a request ticks
         as often as before.
         """
         driver = support.Driver(share=0)
@@ -241,8 +239,8 @@
         owner.submit(support.EXACT)
         self.assertEqual(group.BUSY_TICK_MS, group.tick_ms(owner.state))
 
-    def test_rest_is_no_pause(self):
-        """A message between two of its rare ticks wakes nobody."""
+    def test_rare_ticks_are_no_pause(self):
+        """A message between two rare ticks is not taken for a pause."""
         driver = support.Driver(share=0)
         driver.post(messages.InstancesSeen(8, 88, None))
         driver.list_upstreams()
@@ -252,7 +250,7 @@
         self.assertEqual([], outs)
 
     def test_silent_dial_is_given_up(self):
-        """An instance without power never answers."""
+        """An instance without power never answers a dial."""
         driver = support.Driver()
         driver.list_upstreams(names=('u1',))
         outs = driver.tick(connections.DIAL_TIMEOUT_MS + 200)
@@ -260,25 +258,25 @@
         phases = {c.phase for c in driver.state.connections.values()}
         self.assertEqual({states.Phase.OPENING}, phases)
 
-    def test_all_is_answered_when_a_group_ends(self):
-        """Nobody waits for a group that is configured no more."""
+    def test_all_requests_are_answered_when_a_group_ends(self):
+        """No request waits for a group that is no longer configured."""
         driver = support.Driver().ready()
         keys = [driver.submit(support.EXACT)[0] for _ in range(5)]
         answers = support.answers(driver.post(messages.Abandon()))
         self.assertEqual(set(keys), set(answers))
 
 
-class FullLineTest(testtools.TestCase):
-    """Pattern: as many requests wait as may, and some come back into line."""
+class FullQueueTest(testtools.TestCase):
+    """The queue is full and requests are put back into it."""
 
-    def test_request_that_comes_back_into_a_full_line(self):
-        """Whoever has to leave for it is told at once.
+    def test_request_requeued_into_a_full_queue(self):
+        """The request evicted for it is refused at once.
 
-        Symptom: a few requests wait for their whole time in a burst, though
-        the line moves. Sequence: the line is full; a statement finds no slot
-        and goes back into it; the last in line is taken out. Cause: that one
-        was refused only when the line was full for a new request, and waited
-        outside the line otherwise.
+        Guards against requests waiting until their deadline in a burst
+        although the queue moves: a statement that found no slot is put back
+        into a full queue and evicts the last one. The evicted request was
+        refused only if a new request evicted it, and otherwise waited outside
+        the queue.
         """
         driver = support.Driver(share=1).ready()
         driver.state.limits = states.Limits(queue=1)
--- a/topazring/core/synchronous/tests/test_queue_report.py
+++ b/topazring/core/synchronous/tests/test_queue_report.py
@@ -1,4 +1,4 @@
-"""Tell what a line waits for, once a second, while somebody waits."""
+"""Test the report on what queued requests wait for."""
 
 import testtools
 
@@ -8,15 +8,15 @@
 Verb = support.Verb
 
 
-def told(outs: list) -> list:
-    """Return what was told of lines that stand."""
+def reports(outs: list) -> list:
+    """Return the inputs of the logged queue reports."""
     return support.decided(outs, 'line stands')
 
 
-class LineTest(testtools.TestCase):
-    """A request that waits in vain leaves what it waited for."""
+class QueueReportTest(testtools.TestCase):
+    """The log shows what a request that waits for long is waiting for."""
 
-    def standing(self) -> tuple[support.Driver, list]:
+    def blocked(self) -> tuple[support.Driver, list]:
         """Have a write wait behind a transaction that pauses."""
         driver = support.Driver(share=1).ready()
         driver.submit(support.EXACT, Verb.WRITE, transaction=7, begins=True)
@@ -30,32 +30,32 @@
             driver.answer_guards()
         return driver, outs
 
-    def test_names_the_transaction(self):
-        """It keeps the only connection to the primary."""
-        _, outs = self.standing()
-        (line,) = told(outs)
-        self.assertEqual(1, line['for_primary'])
-        self.assertIn('pausing 1', line['upstreams']['u1'])
+    def test_shows_the_transaction(self):
+        """A paused transaction holds the only connection to the primary."""
+        _, outs = self.blocked()
+        (report,) = reports(outs)
+        self.assertEqual(1, report['for_primary'])
+        self.assertIn('pausing 1', report['upstreams']['u1'])
 
     def test_once_a_second(self):
-        """A storm of waiting requests must not fill the log."""
-        driver, _ = self.standing()
+        """Many waiting requests must not fill the log."""
+        driver, _ = self.blocked()
         outs = []
         for _ in range(20):
             outs += driver.tick(20)
             driver.answer_guards()
-        self.assertEqual([], told(outs))
+        self.assertEqual([], reports(outs))
 
-    def test_nothing_while_the_line_moves(self):
-        """An ordinary wait is no line."""
+    def test_no_report_while_the_queue_moves(self):
+        """A wait of ordinary length is not reported."""
         driver = support.Driver(share=1).ready()
         driver.submit(support.EXACT, Verb.WRITE)
         driver.submit(support.EXACT, Verb.WRITE)
-        self.assertEqual([], told(driver.tick(60)))
+        self.assertEqual([], reports(driver.tick(60)))
 
     def test_counts_every_connection_once(self):
         """The counts of an upstream add up to its connections."""
-        driver, _ = self.standing()
+        driver, _ = self.blocked()
         for name in driver.state.upstreams:
             counted = queue_report.count_uses(driver.state, name)
             held = [
--- a/topazring/core/synchronous/tests/test_reads.py
+++ b/topazring/core/synchronous/tests/test_reads.py
@@ -1,4 +1,4 @@
-"""Read what is fresh enough, wherever it is served soonest."""
+"""Test where reads are served, hedging, and the outcomes of lost requests."""
 
 import testtools
 
@@ -23,33 +23,32 @@
 
 
 def statement_sends(outs: list) -> list:
-    """Return what was sent for callers, without questions of the core."""
-    asking = (statements.Rollback, statements.Status)
+    """Return what was sent for callers, without the core's own queries."""
+    query_types = (statements.Rollback, statements.Status)
     return [
         send
         for send in support.sends(outs)
-        if not isinstance(send.commands[-1], asking)
+        if not isinstance(send.commands[-1], query_types)
     ]
 
 
-class GuardTest(testtools.TestCase):
+class LeadershipCheckTest(testtools.TestCase):
     """A read at the primary proves that it led after the read arrived."""
 
-    def test_primary_read_goes_behind_a_guard(self):
-        """The guard and the read go out in one piece."""
+    def test_primary_read_follows_leadership_check(self):
+        """The leadership check and the read are sent together."""
         driver = support.Driver().ready()
         _, outs = driver.submit(support.EXACT)
         (send,) = statement_sends(outs)
         kinds = [type(command).__name__ for command in send.commands]
         self.assertEqual(['Begin', 'Rollback', 'Run'], kinds)
 
-    def test_answer_behind_a_refused_guard_is_thrown_away(self):
+    def test_answer_behind_refused_leadership_check_is_discarded(self):
         """A replaced primary still runs what follows a refused BEGIN.
 
-        Symptom: a checker sees the beam size of before the last revision.
-        Sequence: a primary is cut off and replaced; a read reaches it behind
-        a guard that it refuses; it runs the read all the same. Cause: taking
-        the last reply without looking at the first.
+        Guards against a stale read: a primary is cut off and replaced, and
+        refuses the leadership check ahead of a read, but still runs the read.
+        This returns old data if only the last reply is examined.
         """
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT)
@@ -65,11 +64,10 @@
         self.assertIn(key, driver.state.work)
 
     def test_read_only_transaction_on_an_exact_database(self):
-        """BEGIN READ succeeds anywhere, so a guard goes before it.
+        """BEGIN READ succeeds anywhere, so a leadership check precedes it.
 
-        Symptom: a stale read in a transaction. Sequence: a read-only
-        transaction begins at a replaced primary. Cause: BEGIN READ proves
-        nothing.
+        Guards against a stale read in a read-only transaction that begins at
+        a replaced primary: BEGIN READ does not prove leadership.
         """
         driver = support.Driver().ready()
         _, outs = driver.submit(
@@ -81,7 +79,7 @@
             [getattr(command, 'read_only', None) for command in send.commands],
         )
 
-    def test_statement_waits_for_its_transaction(self):
+    def test_first_statement_waits_for_begin(self):
         """Behind a refused BEGIN it would run outside any transaction."""
         driver = support.Driver().ready()
         _, outs = driver.submit(
@@ -91,11 +89,11 @@
         self.assertIsInstance(send.commands[-1], statements.Begin)
 
 
-class AgeTest(testtools.TestCase):
-    """A replica serves what is not older than allowed."""
+class StalenessTest(testtools.TestCase):
+    """A replica serves a read within the allowed staleness."""
 
-    def test_replica_is_told_the_place_of_a_young_sample(self):
-        """The upstream itself checks that it holds the place."""
+    def test_replica_read_requires_position_of_recent_sample(self):
+        """The upstream itself checks that it has applied the log position."""
         driver = support.Driver().ready(centres={'u1': 'there'})
         _, outs = driver.submit(support.BOUNDED)
         (send,) = statement_sends(outs)
@@ -103,21 +101,21 @@
         self.assertNotEqual(['u1'], sent_to(driver, outs))
 
     def test_session_sees_its_own_commit(self):
-        """The session's own place goes before the sample's."""
+        """The session's own log position takes precedence if it is newer."""
         driver = support.Driver().ready()
         _, outs = driver.submit(support.OWN, session_place=Place(1, 9))
         (send,) = statement_sends(outs)
         self.assertEqual(Place(1, 9), send.commands[-1].after)
 
     def test_bounded_read_ignores_own_commit(self):
-        """Only the age counts there."""
+        """Bounded freshness depends on the age of the data only."""
         driver = support.Driver().ready()
         _, outs = driver.submit(support.BOUNDED, session_place=Place(1, 9))
         (send,) = statement_sends(outs)
         self.assertEqual(Place(1, 5), send.commands[-1].after)
 
     def test_unknown_age_is_not_fresh(self):
-        """Without a sample that is young enough the primary serves."""
+        """Without a recent enough sample the primary serves the read."""
         driver = support.Driver().ready()
         driver.now_ms += 5000
         _, outs = driver.submit(support.BOUNDED)
@@ -125,27 +123,27 @@
         self.assertEqual(['u1'], sent_to(driver, outs))
         self.assertIsInstance(send.commands[0], statements.Begin)
 
-    def test_woken_process_trusts_no_sample(self):
-        """A process that stood still knows nothing of the time between."""
+    def test_samples_are_discarded_after_pause(self):
+        """A process that was paused has no information on the time between."""
         driver = support.Driver().ready()
         driver.post(messages.Tick(900))
         self.assertEqual(0, len(driver.state.samples))
 
     def test_lagging_replica_is_passed_over(self):
-        """The next one is asked, then the primary."""
+        """The other replica is tried next, then the primary."""
         driver = support.Driver().ready(centres={'u1': 'there'})
         key, _ = driver.submit(support.BOUNDED)
-        asked = []
+        tried = []
         for _ in range(3):
             connection = driver.running(key)
-            asked.append(connection.upstream)
+            tried.append(connection.upstream)
             last = support.refused(Code.LAGGING)
             driver.reply(connection, last)
-        self.assertEqual({'u1', 'u2', 'u3'}, set(asked))
-        self.assertEqual('u1', asked[-1])
+        self.assertEqual({'u1', 'u2', 'u3'}, set(tried))
+        self.assertEqual('u1', tried[-1])
 
     def lagging(self, times: int) -> support.Driver:
-        """Have one replica lack what reads need, some times in a row."""
+        """Have one replica refuse reads as lagging, several times in a row."""
         driver = support.Driver().ready(centres={'u1': 'there', 'u3': 'there'})
         for _ in range(times):
             driver.submit(support.BOUNDED)
@@ -157,41 +155,38 @@
             driver.now_ms += results.LAGGING_PAUSE_MS + 1
         return driver
 
-    def test_replica_that_lacked_a_place_is_left_alone(self):
-        """The next read of the same place would be refused there too.
+    def test_lagging_replica_gets_no_reads_for_a_while(self):
+        """The next read at the same log position would be refused there too.
 
-        Symptom: a tenth of all that upstreams are sent is refused for the
-        replica is behind, for as long as replication is slow. Sequence: a
-        replica in the own data centre refuses a read; the next read is sent
-        there again. Cause: the place that it lacked was looked for in what
-        had been sent after that was forgotten.
+        Guards against a tenth of all commands being refused as lagging while
+        replication is slow: a replica in the own data centre refused a read
+        and the next read was sent there again, because the missing position
+        was looked up in the sent commands after these had been cleared.
         """
         driver = self.lagging(1)
         driver.now_ms -= results.LAGGING_PAUSE_MS
         _, outs = driver.submit(support.BOUNDED)
         self.assertNotIn('u2', sent_to(driver, outs))
 
-    def test_replica_far_behind_is_asked_less_and_less(self):
-        """It will not have caught up within milliseconds."""
+    def test_lagging_pause_grows(self):
+        """A replica far behind does not catch up within milliseconds."""
         driver = self.lagging(2)
         _, outs = driver.submit(support.BOUNDED)
         self.assertNotIn('u2', sent_to(driver, outs))
 
-    def test_replica_that_caught_up_is_asked_again(self):
-        """Where its log stands is told with every answer."""
+    def test_replica_that_caught_up_is_used_again(self):
+        """Every reply of a replica reports its log position."""
         driver = self.lagging(3)
         driver.state.upstreams['u2'].place = Place(1, 5)
         _, outs = driver.submit(support.BOUNDED)
         self.assertEqual(['u2'], sent_to(driver, outs))
 
     def test_replica_that_was_slow_once_is_tried_again(self):
-        """Nothing tells that it is quick again but a request.
+        """Only a request can show that a slow replica has recovered.
 
-        Symptom: long after a replica had hung for some seconds the others
-        carry all reads, and the primary is overloaded. Sequence: its reads
-        take half a second; its usual time is that from then on; it is never
-        the soonest, so it is never asked, and its usual time stays. Cause:
-        taking an old time for the present one.
+        Guards against an overloaded primary long after a replica hung for
+        some seconds: its recorded service time rose to half a second, so it
+        was never chosen again and the recorded time was never updated.
         """
         driver = support.Driver().ready(centres={'u1': 'there', 'u3': 'there'})
         slow = driver.state.upstreams['u2']
@@ -206,7 +201,7 @@
         self.assertEqual(['u2'], sent_to(driver, outs))
 
     def test_own_data_centre_is_preferred(self):
-        """Bytes between data centres cost money."""
+        """Traffic between data centres costs money."""
         driver = support.Driver().ready(
             centres={'u1': 'there', 'u2': 'there', 'u3': 'here'}
         )
@@ -214,7 +209,7 @@
         self.assertEqual(['u3'], sent_to(driver, outs))
 
     def test_leaving_replica_gets_no_reads(self):
-        """Nothing new goes to an upstream that leaves."""
+        """An upstream that is leaving gets no new work."""
         driver = support.Driver().ready(centres={'u1': 'there', 'u2': 'there'})
         driver.list_upstreams(
             leaving='u3', revision=2, centres={'u1': 'there', 'u2': 'there'}
@@ -224,14 +219,13 @@
 
 
 class HedgeTest(testtools.TestCase):
-    """A read whose answer is late or lost is tried elsewhere."""
+    """A read whose answer is late or lost is tried at another upstream."""
 
     def test_lost_answer_is_hedged(self):
-        """One silent connection does not cost the caller its deadline.
+        """A lost answer does not delay the read until its deadline.
 
-        Symptom: a schedule takes until its deadline although two other
-        upstreams are idle. Sequence: an upstream runs the read and its
-        answer is lost. Cause: waiting for that one answer.
+        Guards against waiting only for the one answer that was lost while two
+        other upstreams are idle.
         """
         driver = support.Driver().ready()
         key, _ = driver.submit(support.BOUNDED)
@@ -245,8 +239,8 @@
         outs = driver.reply(driver.state.connections[second], support.ok('s'))
         self.assertEqual({key}, set(support.answers(outs)))
 
-    def test_first_answer_wins_also_if_late(self):
-        """An answer that is ready is delivered."""
+    def test_late_first_answer_is_delivered(self):
+        """The first answer to arrive is used, also that of the slow copy."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.BOUNDED)
         first = driver.running(key)
@@ -254,8 +248,8 @@
         outs = driver.reply(first, support.ok('s'))
         self.assertIn(key, support.answers(outs))
 
-    def test_second_answer_reaches_nobody(self):
-        """What the other copy returns belongs to no one any more."""
+    def test_second_answer_is_discarded(self):
+        """The reply to the other copy arrives after the request is done."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.BOUNDED)
         first = driver.running(key)
@@ -274,13 +268,13 @@
             driver.answer_guards()
         self.assertEqual(1, len(driver.state.work[key].running))
 
-    def test_copy_that_finds_no_connection_costs_nothing(self):
-        """The budget is for what goes out.
+    def test_hedge_without_connection_spends_no_budget(self):
+        """The retry budget is charged only for copies that are sent.
 
-        Symptom: reads that hang are refused instead of tried elsewhere.
-        Sequence: a read is slow; every connection is taken; each 20 ms a
-        copy is paid for and none goes out; the next lost answers find the
-        budget empty. Cause: paying before looking for a connection.
+        Guards against refusing hanging reads instead of retrying them: with
+        every connection taken, a slow read was charged for a copy each 20 ms
+        although none was sent, and the budget was empty when answers were
+        lost later.
         """
         driver = support.Driver(share=1).ready()
         driver.submit(support.EXACT)
@@ -291,7 +285,7 @@
         self.assertEqual(before, driver.state.budget.balance)
 
     def test_no_budget_no_hedge(self):
-        """Second copies of an overload would be the overload."""
+        """Under overload, further copies would add to the overload."""
         driver = support.Driver().ready()
         driver.state.budget.balance = 0.0
         key, _ = driver.submit(support.BOUNDED)
@@ -299,11 +293,11 @@
         self.assertEqual(1, len(driver.state.work[key].running))
 
 
-class FateTest(testtools.TestCase):
-    """What a caller is told is true."""
+class OutcomeTest(testtools.TestCase):
+    """The reported outcome matches what may have taken effect."""
 
     def test_lost_single_write_is_unknown_and_not_sent_again(self):
-        """It may have run."""
+        """The write may have run."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         outs = driver.close(driver.running(key))
@@ -311,7 +305,7 @@
         self.assertEqual([], sent_to(driver, outs))
 
     def test_refused_write_is_sent_again(self):
-        """An upstream that does not lead certainly did not run it."""
+        """An upstream that is not the primary certainly did not run it."""
         driver = support.Driver().ready()
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         outs = driver.reply(
@@ -321,7 +315,7 @@
         self.assertIn(key, driver.state.work)
 
     def begun(self):
-        """Return a driver with a transaction whose write is under way."""
+        """Return a driver with a transaction whose write is running."""
         driver = support.Driver().ready()
         key, _ = driver.submit(
             support.EXACT, Verb.WRITE, transaction=7, begins=True
@@ -334,13 +328,13 @@
         return driver, key, connection
 
     def test_lost_first_statement_of_a_transaction_runs_again(self):
-        """Its connection is closed, so nothing of it is kept."""
+        """Its connection is closed, so it has no lasting effect."""
         driver, key, connection = self.begun()
         outs = driver.close(connection)
         self.assertEqual({}, support.answers(outs))
         self.assertIn(key, driver.state.work)
 
-    def test_lost_later_statement_kept_nothing(self):
+    def test_lost_later_statement_did_not_run(self):
         """The transaction is rolled back with its connection."""
         driver, key, connection = self.begun()
         driver.reply(
@@ -352,7 +346,7 @@
         self.assertIsInstance(support.answers(outs)[key], outcomes.NotRun)
 
     def test_lost_commit_is_unknown(self):
-        """It may have taken effect."""
+        """The COMMIT may have taken effect."""
         driver, key, connection = self.begun()
         driver.reply(
             connection,
@@ -362,8 +356,8 @@
         outs = driver.close(connection)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Unknown)
 
-    def test_commit_at_a_replaced_primary_kept_nothing(self):
-        """It was refused, so nothing is kept."""
+    def test_commit_refused_by_replaced_primary_did_not_run(self):
+        """A refused COMMIT has no lasting effect."""
         driver, key, connection = self.begun()
         driver.reply(
             connection,
@@ -376,12 +370,12 @@
         outs = driver.reply(connection, refused)
         self.assertIsInstance(support.answers(outs)[key], outcomes.NotRun)
 
-    def test_statement_at_an_upstream_that_is_listed_no_more(self):
-        """A transaction goes on there.
+    def test_statement_at_an_upstream_no_longer_listed(self):
+        """A transaction continues at an upstream that is no longer listed.
 
-        Symptom: the whole process ends. Sequence: a transaction is open; its
-        upstream's entry lapses; the caller sends the next statement. Cause:
-        looking the upstream up in the list.
+        Guards against the end of the whole process: the upstream's entry
+        expires during a transaction, and the next statement fails when the
+        upstream is looked up in the list.
         """
         driver, key, connection = self.begun()
         driver.reply(
--- a/topazring/core/synchronous/tests/test_withdrawals.py
+++ b/topazring/core/synchronous/tests/test_withdrawals.py
@@ -1,8 +1,8 @@
-"""Undo transactions whose callers are gone, whatever they are at.
+"""Test the rollback of transactions whose callers are gone.
 
-The pattern: a transaction comes in at one proxy and runs at another, its
-owner. When the stream between them ends, the owner undoes the transaction:
-between two statements, in the middle of one, or before its first one.
+A transaction arrives at one proxy and runs at another, its owner. When the
+stream between them ends, the owner rolls the transaction back: between two
+statements, during a statement, or before the first one.
 """
 
 import testtools
@@ -19,7 +19,7 @@
 
 
 class WithdrawalTest(testtools.TestCase):
-    """A transaction that is withdrawn leaves nothing behind."""
+    """A withdrawn transaction leaves no state behind."""
 
     def setUp(self):
         super().setUp()
@@ -40,30 +40,28 @@
         return connection
 
     def open_transaction(self) -> states.Connection:
-        """Bring a transaction to where it waits for its next statement."""
+        """Open a transaction that waits for its next statement."""
         connection = self.begin()
         self.driver.reply(connection, in_transaction('s'))
         return connection
 
     def withdraw(self) -> list:
-        """End the stream that the transaction came in on."""
+        """End the stream on which the transaction arrived."""
         return self.driver.post(messages.Withdraw(TRANSACTION))
 
     def serves_another(self) -> bool:
-        """Say whether the primary's one connection takes a new write."""
+        """Return whether the primary's only connection runs a new write."""
         key, _ = self.driver.submit(verb=WRITE)
         return any(c.work == key for c in self.driver.busy('u1'))
 
-    def test_in_the_middle_of_a_statement(self):
-        """Its request goes with it.
+    def test_during_a_statement(self):
+        """The running request ends together with its transaction.
 
-        Symptom: processes end by themselves with a KeyError, nine in one
-        day, each with all its groups and sessions. Sequence: a statement of
-        a transaction is under way at its owner; the stream that it came in
-        on is reset; the transaction is undone by closing its connection; at
-        the next tick the owner looks at the connection that the request
-        runs on. Cause: the end of a transaction struck off its connection
-        and left the request that was running there.
+        Guards against processes ending with a KeyError, nine in one day, each
+        with all its groups and sessions: the stream is reset while a
+        statement of the transaction runs at its owner; the transaction is
+        rolled back by closing and removing its connection, but its request
+        remains, and the next tick looks up the removed connection.
         """
         connection = self.begin()
         answers = support.answers(self.withdraw())
@@ -77,11 +75,11 @@
         self.driver.reply(connection)
         self.assertTrue(self.serves_another())
 
-    def test_commit_under_way_is_not_cut(self):
-        """Whether it took effect is unknown, and the upstream is let finish.
+    def test_running_commit_is_not_interrupted(self):
+        """Its outcome is unknown, and the upstream may finish it.
 
-        A connection that is closed in the middle of a COMMIT costs another
-        dial, and leaves the upstream with work that nobody reads.
+        Closing the connection during a COMMIT would cost another dial and
+        leave the upstream with work whose result is not read.
         """
         connection = self.open_transaction()
         self.submit(COMMIT)
@@ -93,14 +91,13 @@
         self.assertIn(connection.number, self.driver.state.connections)
 
     def test_before_its_first_statement(self):
-        """One that still waits for a connection never begins.
-
-        Symptom: after proxies are lost, connections to the primary are held
-        by transactions that nobody goes on with, until they have been idle
-        for too long. Sequence: all connections are busy; a transaction's
-        first statement waits; its stream ends; a connection is free and the
-        transaction begins. Cause: only transactions that had begun were
-        undone.
+        """A transaction that still waits for a connection never begins.
+
+        Guards against connections to the primary being held by abandoned
+        transactions after the loss of proxies, until their idle limit: all
+        connections are busy, the first statement of a transaction waits, its
+        stream ends, and the transaction begins once a connection is free.
+        Only transactions that had begun were rolled back.
         """
         self.driver.submit(verb=WRITE)
         (busy,) = [c for c in self.driver.busy('u1') if c.work]
@@ -110,10 +107,10 @@
         self.assertFalse(any(has_begin(sent) for sent in support.sends(outs)))
         self.assertTrue(self.serves_another())
 
-    def test_while_it_begins(self):
-        """One whose BEGIN is under way is rolled back when that is answered.
+    def test_while_begin_is_running(self):
+        """The transaction is rolled back once its BEGIN is answered.
 
-        Symptom, sequence and cause as above, some milliseconds later.
+        Guards against the same failure as above, some milliseconds later.
         """
         self.submit(begins=True)
         (connection,) = [c for c in self.driver.busy('u1') if c.work]
@@ -123,7 +120,7 @@
         self.assertEqual({}, self.driver.state.transactions)
 
     def test_between_two_statements(self):
-        """One that waits for its caller is rolled back at once."""
+        """A transaction that waits for its caller is rolled back at once."""
         connection = self.open_transaction()
         self.withdraw()
         self.assertIs(states.Errand.UNDOING, connection.errand)
@@ -135,7 +132,7 @@
 
 
 def has_begin(sent: messages.Send) -> bool:
-    """Say whether a transaction is begun that stays open."""
+    """Return whether a transaction is begun that stays open."""
     commands = sent.commands
     return any(
         isinstance(command, statements.Begin)
