--- a/topazring/core/synchronous/tests/load_simulation.py
+++ b/topazring/core/synchronous/tests/load_simulation.py
@@ -1,10 +1,10 @@
-"""Play a crowd of callers before several owners of one group, in memory.
+"""Simulate the load of many callers on several owners of one group.
 
-Upstreams have few slots and a bounded queue, replicas apply late, operations
-are single statements or transactions whose callers pause between statements.
-Entries choose an owner as the product does and tell it how long a request has.
-Time is simulated and everything drawn comes from one seed, so a run is the
-same again.
+The simulation runs in memory. Upstreams have few slots and a bounded queue,
+replicas apply with a lag, and operations are single statements or
+transactions whose callers pause between statements. Entries choose an owner
+with the production code and pass on how much time a request has left. Time is
+simulated and all random values come from one seed, so runs are reproducible.
 """
 
 import itertools
@@ -30,7 +30,7 @@
 class LoadSimulation(
     simulated_upstreams.UpstreamSimulation, simulated_time.SimulatedTime
 ):
-    """Hold owners, upstreams, callers, and what is under way."""
+    """Hold the owners, upstreams and callers, and all pending events."""
 
     def __init__(
         self,
@@ -67,11 +67,11 @@
         )
         self.wires: dict[tuple[str, int], fake_group.Wire] = {}
         self.centre_of = {o.name: o.data_centre for o in self.owned.owners}
-        self.waits: dict[tuple[str, int], object] = {}
+        self.pending_answers: dict[tuple[str, int], object] = {}
         self.tallies = {
             kind.policy.database: simulated_callers.Tally() for kind in kinds
         }
-        # What each entry knows of each owner.
+        # For each entry, the last known load of each owner.
         self.loads = [
             {name: forwarding.Load() for name in names} for _ in range(entries)
         ]
@@ -79,7 +79,7 @@
         for name in names:
             self._add_owner(name, share)
         for kind in kinds:
-            self.at(self.rng.random() * 20, self._come, kind)
+            self.at(self.rng.random() * 20, self._start_operation, kind)
 
     def _add_owner(self, name: str, share: int) -> None:
         state = states.make_group('s', self.centre_of[name], states.Limits())
@@ -95,8 +95,8 @@
             for u in self.upstreams.values()
         )
 
-    def forget(self) -> None:
-        """Count anew from now on."""
+    def reset_tallies(self) -> None:
+        """Reset all tallies."""
         for name in self.tallies:
             self.tallies[name] = simulated_callers.Tally()
 
@@ -111,7 +111,7 @@
     # ---- owners ----
 
     def post(self, owner: str, message: object) -> None:
-        """Give an owner's core a message and do what it says."""
+        """Pass a message to an owner's core and perform its actions."""
         for out in group.step(self.states[owner], int(self.now_ms), message):
             self._perform(owner, out)
 
@@ -136,21 +136,21 @@
                 if wire is not None:
                     wire.silent = True
             case messages.Answer():
-                self.waits.pop((owner, out.key))(out.outcome)
+                self.pending_answers.pop((owner, out.key))(out.outcome)
 
     def _dial(self, owner: str, out: messages.Open) -> None:
         if out.connection not in self.states[owner].connections:
             return
         wire = fake_group.Wire(owner, out.connection, out.upstream)
         self.wires[(owner, out.connection)] = wire
-        place = self.upstreams[out.upstream].place()
-        self.post(owner, messages.Opened(out.connection, place))
+        position = self.upstreams[out.upstream].log_position()
+        self.post(owner, messages.Opened(out.connection, position))
 
     # ---- callers ----
 
-    def _come(self, kind: simulated_callers.OperationKind) -> None:
-        """Begin an operation, and say when the next one comes."""
+    def _start_operation(self, kind: simulated_callers.OperationKind) -> None:
+        """Start an operation and schedule the next one of its kind."""
         per_ms = kind.per_s * self.rate / 1000
-        self.at(self.rng.expovariate(per_ms), self._come, kind)
+        self.at(self.rng.expovariate(per_ms), self._start_operation, kind)
         self.tallies[kind.policy.database].begun += 1
         simulated_callers.Operation(self, kind).start()
--- a/topazring/core/synchronous/tests/simulated_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -1,4 +1,4 @@
-"""Say what the callers of a crowd do: operations, pauses, tries."""
+"""Simulate callers: their operations, pauses and retries."""
 
 import collections
 import dataclasses
@@ -14,11 +14,12 @@
 Verb = statements.Verb
 
 CENTRES = ('a', 'b', 'c')
-# One way to an owner or an upstream, within and between data centres.
+# One-way delay within a data centre; REMOTE_DELAY_MS applies between them.
 LOCAL_DELAY_MS = 0.5
-# Two hops between data centres and a little of a busy process.
+# Answers within this time count as immediate: two hops between data centres,
+# and some processing time in a busy process.
 IMMEDIATE_MS = 60
-# Callers wait a little before they try again, whatever they are told.
+# Minimum delay before a caller retries, whatever retry delay it was given.
 MIN_BACKOFF_MS = 30
 
 
@@ -31,39 +32,39 @@
     work_ms: float
     writes: float = 0.0
     transactions: float = 0.0
-    # A caller gives an operation up after that, and after so many tries.
+    # A caller gives up an operation after this time or number of attempts.
     patience_ms: int = 1500
     tries: int = 3
 
 
 @dataclasses.dataclass
 class Tally:
-    """Count what became of the operations of one kind."""
+    """Count the outcomes of the operations of one kind."""
 
     begun: int = 0
     done: int = 0
-    # Of them within the latency goal of their kind.
+    # Done within the latency goal of the kind.
     in_goal: int = 0
-    refused_at_once: int = 0
-    waited_in_vain: int = 0
+    refused_immediately: int = 0
+    failed_after_waiting: int = 0
 
 
 class Operation:
     """Hold one caller's operation: a statement, or a transaction."""
 
-    def __init__(self, crowd, kind: OperationKind):
-        self.crowd = crowd
+    def __init__(self, simulation, kind: OperationKind):
+        self.simulation = simulation
         self.kind = kind
-        self.began_ms = crowd.now_ms
-        self.entry = crowd.rng.randrange(len(crowd.loads))
+        self.began_ms = simulation.now_ms
+        self.entry = simulation.rng.randrange(len(simulation.loads))
         self.centre = CENTRES[self.entry % len(CENTRES)]
         self.session = sessions.Session(0, kind.policy.database)
         self.owner = ''
-        # Time that the caller itself took.
+        # Total time that the caller paused between statements.
         self.paused_ms = 0.0
-        rng = crowd.rng
+        rng = simulation.rng
         self.tries_left = kind.tries
-        one = Verb.WRITE if rng.random() < kind.writes else Verb.READ
+        single = Verb.WRITE if rng.random() < kind.writes else Verb.READ
         if rng.random() < kind.transactions:
             body = [
                 Verb.WRITE if rng.random() < kind.writes else Verb.READ
@@ -71,114 +72,128 @@
             ]
             self.body = [Verb.BEGIN, *body, Verb.COMMIT]
         else:
-            self.body = [one]
-        self.todo: collections.deque[Verb] = collections.deque()
+            self.body = [single]
+        self.remaining: collections.deque[Verb] = collections.deque()
 
     def start(self) -> None:
-        """Say the first statement, of the first try or of another."""
+        """Start an attempt with the first statement of the operation."""
         self.tries_left -= 1
-        self.todo = collections.deque(self.body)
-        self._say()
+        self.remaining = collections.deque(self.body)
+        self._send_next()
 
-    def _say(self) -> None:
-        crowd = self.crowd
-        verb = self.todo.popleft()
+    def _send_next(self) -> None:
+        simulation = self.simulation
+        verb = self.remaining.popleft()
         text = f'{verb} {self.kind.work_ms}'
-        key = next(crowd.keys)
+        key = next(simulation.keys)
         read_only = verb is Verb.BEGIN and self.kind.writes == 0
         statement = statements.Statement(
             f'r{key}', verb, text, read_only=read_only
         )
-        taken = sessions.take(
+        result = sessions.take(
             self.session,
-            int(crowd.now_ms),
+            int(simulation.now_ms),
             key,
             statement,
             self.kind.policy,
         )
-        if isinstance(taken, sessions.Local):
-            self._go_on()
+        if isinstance(result, sessions.Local):
+            self._continue()
             return
-        self._run(taken, forwarding.Plan())
+        self._forward(result, forwarding.Plan())
 
-    def _run(self, request: messages.Request, plan: forwarding.Plan) -> None:
-        crowd = self.crowd
-        place = self.owner
+    def _forward(
+        self, request: messages.Request, plan: forwarding.Plan
+    ) -> None:
+        simulation = self.simulation
+        owner = self.owner
         if not request.goes_on:
-            loads = crowd.loads[self.entry]
-            place = forwarding.next_owner(
+            loads = simulation.loads[self.entry]
+            owner = forwarding.next_owner(
                 plan,
-                crowd.owned,
+                simulation.owned,
                 '',
                 self.centre,
-                lambda name: loads[name].expected_ahead(crowd.now_ms),
+                lambda name: loads[name].expected_ahead(simulation.now_ms),
                 request.key,
             )
-            if place is None:
-                self._answered(request, forwarding.final_outcome(plan))
+            if owner is None:
+                self._complete(request, forwarding.final_outcome(plan))
                 return
-            plan.tried.append(place)
-            self.owner = place
-        load = crowd.loads[self.entry][place]
+            plan.tried.append(owner)
+            self.owner = owner
+        load = simulation.loads[self.entry][owner]
         load.under_way += 1
-        near = crowd.centre_of[place] == self.centre
+        is_local = simulation.centre_of[owner] == self.centre
         hop_ms = (
-            LOCAL_DELAY_MS if near else simulated_upstreams.REMOTE_DELAY_MS
+            LOCAL_DELAY_MS if is_local else simulated_upstreams.REMOTE_DELAY_MS
         )
-        crowd.at(hop_ms, self._submit, place, request, plan, load, hop_ms)
+        simulation.at(hop_ms, self._submit, owner, request, plan, load, hop_ms)
 
-    def _submit(self, place, request, plan, load, hop_ms) -> None:
-        crowd = self.crowd
+    def _submit(self, owner, request, plan, load, hop_ms) -> None:
+        simulation = self.simulation
 
-        def take(outcome: outcomes.Outcome) -> None:
-            told = request_queues.count(crowd.states[place])
-            crowd.at(hop_ms, self._told, request, plan, load, told, outcome)
+        def deliver(outcome: outcomes.Outcome) -> None:
+            queue_length = request_queues.count(simulation.states[owner])
+            simulation.at(
+                hop_ms,
+                self._handle_answer,
+                request,
+                plan,
+                load,
+                queue_length,
+                outcome,
+            )
 
-        crowd.waits[(place, request.key)] = take
-        crowd.post(place, messages.Submit(request))
+        simulation.pending_answers[(owner, request.key)] = deliver
+        simulation.post(owner, messages.Submit(request))
 
-    def _told(self, request, plan, load, told, outcome) -> None:
+    def _handle_answer(
+        self, request, plan, load, queue_length, outcome
+    ) -> None:
         load.under_way -= 1
-        load.waiting = told
-        load.reported_ms = int(self.crowd.now_ms)
+        load.waiting = queue_length
+        load.reported_ms = int(self.simulation.now_ms)
         plan.last = outcome
         if forwarding.is_final(request, outcome):
-            self._answered(request, outcome)
+            self._complete(request, outcome)
         else:
-            self._run(request, plan)
+            self._forward(request, plan)
 
-    def _answered(self, request, outcome: outcomes.Outcome) -> None:
+    def _complete(self, request, outcome: outcomes.Outcome) -> None:
         sessions.finish(self.session, request, outcome)
-        tally = self.crowd.tallies[self.kind.policy.database]
+        tally = self.simulation.tallies[self.kind.policy.database]
         if not isinstance(outcome, outcomes.Done):
-            waited_ms = self.crowd.now_ms - request.arrived_ms
+            waited_ms = self.simulation.now_ms - request.arrived_ms
             if waited_ms < IMMEDIATE_MS:
-                tally.refused_at_once += 1
+                tally.refused_immediately += 1
             else:
-                tally.waited_in_vain += 1
+                tally.failed_after_waiting += 1
             if isinstance(outcome, outcomes.NotRun):
-                self._come_back(outcome)
+                self._retry(outcome)
             return
-        self._go_on()
+        self._continue()
 
-    def _come_back(self, refusal: outcomes.NotRun) -> None:
-        """Try again, in full, once that is worth it."""
-        left_ms = self.kind.patience_ms - (self.crowd.now_ms - self.began_ms)
+    def _retry(self, refusal: outcomes.NotRun) -> None:
+        """Retry the whole operation after the given delay, if time is left."""
+        left_ms = self.kind.patience_ms - (
+            self.simulation.now_ms - self.began_ms
+        )
         pause_ms = max(MIN_BACKOFF_MS, refusal.retry_after_ms)
         if not self.tries_left or pause_ms >= left_ms:
             return
         self.session = sessions.Session(0, self.kind.policy.database)
-        self.crowd.at(pause_ms, self.start)
+        self.simulation.at(pause_ms, self.start)
 
-    def _go_on(self) -> None:
-        crowd = self.crowd
-        if self.todo:
-            pause_ms = crowd.rng.expovariate(1 / crowd.pause_ms)
+    def _continue(self) -> None:
+        simulation = self.simulation
+        if self.remaining:
+            pause_ms = simulation.rng.expovariate(1 / simulation.pause_ms)
             self.paused_ms += pause_ms
-            crowd.at(pause_ms, self._say)
+            simulation.at(pause_ms, self._send_next)
             return
-        tally = crowd.tallies[self.kind.policy.database]
-        took_ms = crowd.now_ms - self.began_ms - self.paused_ms
+        tally = simulation.tallies[self.kind.policy.database]
+        took_ms = simulation.now_ms - self.began_ms - self.paused_ms
         if took_ms <= self.kind.patience_ms:
             tally.done += 1
         if took_ms <= self.kind.policy.latency_goal_ms:
--- a/topazring/core/synchronous/tests/simulated_upstreams.py
+++ b/topazring/core/synchronous/tests/simulated_upstreams.py
@@ -1,4 +1,4 @@
-"""Say what the upstreams of a crowd do: slots, queues, logs that lag."""
+"""Simulate upstreams with slots, a bounded queue and replication lag."""
 
 import collections
 import dataclasses
@@ -11,11 +11,11 @@
 Code = statements.Code
 Role = statements.Role
 
-# One way between data centres.
+# One-way delay between data centres.
 REMOTE_DELAY_MS = 1.4
-# Replicas receive a commit after that long, and apply it later.
+# Time until replicas receive a commit; they apply it later.
 RECEIVE_MS = 1.5
-# A replica's receipt comes back within a few ms.
+# A replica's confirmation arrives within a few ms.
 CONFIRM_MS = 3.0
 
 
@@ -30,75 +30,80 @@
     queue: int
     lag_ms: float = 150.0
     position: int = 5
-    # Where its log ends; more than it has applied.
+    # Position at which its log ends; `position` is the last one applied.
     received: int = 5
-    in_work: int = 0
-    # Statements that came, and those refused by reason.
+    running: int = 0
+    # Statements received, and statements refused by code.
     arrived: int = 0
     refused: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
     )
-    line: collections.deque = dataclasses.field(
+    waiting: collections.deque = dataclasses.field(
         default_factory=collections.deque
     )
 
-    def place(self) -> places.Place:
-        """Return the place of the last applied entry."""
+    def log_position(self) -> places.Place:
+        """Return the log position of the last applied entry."""
         return places.Place(1, self.position)
 
 
 class UpstreamSimulation:
-    """Run commands on slots; `Crowd` gives time and connections."""
+    """Run commands on slots.
+
+    `LoadSimulation` provides the time and the connections.
+    """
 
     def _arrive(self, wire, commands: tuple) -> None:
         if wire is None or wire.silent:
             return
         wire.replies = []
         wire.inbox.extend(commands)
-        self._next(wire)
+        self._run_next(wire)
 
-    def _next(self, wire: fake_group.Wire) -> None:
-        """Run a connection's next command, or send the replies back."""
+    def _run_next(self, wire: fake_group.Wire) -> None:
+        """Run the next command of a connection, or send its replies back."""
         if wire.silent:
             return
         if not wire.inbox:
             replied = messages.Replied(wire.number, tuple(wire.replies))
-            self.at(REMOTE_DELAY_MS, self._replied, wire, replied)
+            self.at(REMOTE_DELAY_MS, self._deliver_replies, wire, replied)
             return
         command = wire.inbox.popleft()
         upstream = self.upstreams[wire.upstream]
-        takes = isinstance(command, statements.Run | statements.Commit)
-        if not takes:
-            wire.replies.append(self._quick(wire, upstream, command))
-            self._next(wire)
+        needs_slot = isinstance(command, statements.Run | statements.Commit)
+        if not needs_slot:
+            wire.replies.append(
+                self._run_without_slot(wire, upstream, command)
+            )
+            self._run_next(wire)
             return
         upstream.arrived += 1
-        refusal = self._refuses(wire, upstream, command)
+        refusal = self._refusal(wire, upstream, command)
         if refusal is not None:
             upstream.refused[refusal] += 1
             wire.replies.append(
-                fake_group.refuse(wire, upstream.place(), refusal)
+                fake_group.refuse(wire, upstream.log_position(), refusal)
             )
-            self._next(wire)
+            self._run_next(wire)
             return
-        upstream.line.append((wire, command))
-        self._work(upstream)
+        upstream.waiting.append((wire, command))
+        self._start_queued(upstream)
 
-    def _replied(self, wire, replied: messages.Replied) -> None:
+    def _deliver_replies(self, wire, replied: messages.Replied) -> None:
         if not wire.silent:
             self.post(wire.proxy, replied)
 
-    def _quick(self, wire, upstream, command) -> statements.Reply:
+    def _run_without_slot(self, wire, upstream, command) -> statements.Reply:
         match command:
             case statements.Begin():
-                if command.after and upstream.place() < command.after:
+                if command.after and upstream.log_position() < command.after:
                     return fake_group.refuse(
-                        wire, upstream.place(), Code.LAGGING
+                        wire, upstream.log_position(), Code.LAGGING
                     )
                 leads = upstream.role is Role.PRIMARY
                 if not command.read_only and not leads:
                     return fake_group.refuse(
-                        wire, upstream.place(), Code.READ_ONLY
+                        wire, upstream.log_position(), Code.READ_ONLY
                     )
                 wire.read_only = command.read_only
             case statements.Rollback():
@@ -108,35 +113,37 @@
                 report = statements.StatusReport(
                     upstream.role, 1, received, 0, 0, 0, 0
                 )
-                return fake_group.ok(wire, upstream.place(), report=report)
-        return fake_group.ok(wire, upstream.place())
+                return fake_group.ok(
+                    wire, upstream.log_position(), report=report
+                )
+        return fake_group.ok(wire, upstream.log_position())
 
-    def _refuses(self, wire, upstream, command) -> Code | None:
+    def _refusal(self, wire, upstream, command) -> Code | None:
         after = getattr(command, 'after', None)
-        if after is not None and upstream.place() < after:
+        if after is not None and upstream.log_position() < after:
             return Code.LAGGING
-        if len(upstream.line) >= upstream.queue:
+        if len(upstream.waiting) >= upstream.queue:
             return Code.BUSY
         return None
 
-    def _work(self, upstream: Upstream) -> None:
-        while upstream.in_work < upstream.slots and upstream.line:
-            wire, command = upstream.line.popleft()
+    def _start_queued(self, upstream: Upstream) -> None:
+        while upstream.running < upstream.slots and upstream.waiting:
+            wire, command = upstream.waiting.popleft()
             if wire.silent:
                 continue
-            upstream.in_work += 1
-            takes_ms = self._takes_ms(command)
-            self.at(takes_ms, self._finish, upstream, wire, command)
+            upstream.running += 1
+            duration_ms = self._duration_ms(command)
+            self.at(duration_ms, self._finish, upstream, wire, command)
 
-    def _takes_ms(self, command) -> float:
+    def _duration_ms(self, command) -> float:
         if isinstance(command, statements.Commit):
             return 3.0
         mean_ms = float(command.text.split()[1])
         return mean_ms * self.rng.lognormvariate(-0.2, 0.6)
 
     def _finish(self, upstream, wire, command) -> None:
-        upstream.in_work -= 1
-        self._work(upstream)
+        upstream.running -= 1
+        self._start_queued(upstream)
         if wire.silent:
             return
         writes = isinstance(command, statements.Run) and (
@@ -157,8 +164,8 @@
     def _confirm(self, upstream, wire) -> None:
         if wire.silent:
             return
-        wire.replies.append(fake_group.ok(wire, upstream.place()))
-        self._next(wire)
+        wire.replies.append(fake_group.ok(wire, upstream.log_position()))
+        self._run_next(wire)
 
     def _append(self, upstream: Upstream) -> None:
         upstream.position += 1
--- a/topazring/core/synchronous/tests/test_forwarding.py
+++ b/topazring/core/synchronous/tests/test_forwarding.py
@@ -85,7 +85,7 @@
         dials = [out for out in outs if isinstance(out, messages.Open)]
         self.assertEqual([], dials)
 
-    def test_holder_of_the_duty_sees_the_members(self):
+    def test_holder_of_the_promotion_lease_sees_the_members(self):
         """It promotes, so it has to query the members, owner or not."""
         driver = support.Driver()
         driver.post(messages.InstancesSeen(5, 23, None))
--- a/topazring/core/synchronous/tests/test_load_simulation.py
+++ b/topazring/core/synchronous/tests/test_load_simulation.py
@@ -1,7 +1,7 @@
-"""Play crowds before eight owners: who is served, who is refused, how soon.
+"""Test service, refusals and latency under simulated load on several owners.
 
-Rates, work and goals are those of a customer's sheet: 158 operations a second
-before one group of three upstreams with three slots each.
+Rates, service times and goals are those of a customer's specification: 158
+operations a second on one group of three upstreams with three slots each.
 """
 
 import testtools
@@ -30,7 +30,7 @@
 
 
 def kinds(per_s: float) -> tuple[simulated_callers.OperationKind, ...]:
-    """Return the customer's mix at a rate of all operations together."""
+    """Return the customer's mix of operations at a total rate."""
     return (
         simulated_callers.OperationKind(
             SAVE, 0.15 * per_s, 6, writes=0.35, transactions=0.4
@@ -44,69 +44,72 @@
     )
 
 
-def played(
+def simulated(
     per_s: float, replicas_lag_ms: float, seed: int
 ) -> load_simulation.LoadSimulation:
-    """Play 3 s of calm, uncounted, and 8 s with replicas that apply late."""
-    playing = load_simulation.LoadSimulation(seed, kinds(per_s))
-    playing.run(3000)
-    playing.forget()
-    for upstream in playing.replicas():
+    """Simulate 3 s without lag, not counted, and 8 s with lagging replicas."""
+    simulation = load_simulation.LoadSimulation(seed, kinds(per_s))
+    simulation.run(3000)
+    simulation.reset_tallies()
+    for upstream in simulation.replicas():
         upstream.lag_ms = replicas_lag_ms
-    playing.run(8000)
-    return playing
-
-
-class LateReplicasTest(testtools.TestCase):
-    """Pattern: both replicas apply late, so one upstream has to serve all.
-
-    Symptom: a twentieth of a day's requests wait for their whole time and
-    are not served; the others are as quick as ever. Sequence: both replicas
-    of one database apply seconds late; its reads have to be served by the
-    primary, whose slots are too few for all; the line grows at every owner.
-    Cause: the estimate of the wait counted the two idle replicas, which
-    cannot serve the line, so nobody was refused; each request waited out its
-    time, and late ones took slots from those still in time. Proof: of 1,276
-    that were given up, all at one of four databases, 548 had never been sent
-    and 475 ran out of time at the upstream, beside idle replicas that "lack"
-    the place; in this model 386 of 1,260 operations' tries waited in vain.
+    simulation.run(8000)
+    return simulation
+
+
+class LaggingReplicasTest(testtools.TestCase):
+    """Both replicas lag, so the primary alone has to serve all requests.
+
+    Guards against a twentieth of a day's requests waiting until their
+    deadline without being served. Both replicas of one database apply seconds
+    late, its reads have to be served by the primary, which has too few slots
+    for all, and the queue grows at every owner. The estimate of the wait
+    counted the two idle replicas, which cannot serve the queue, so no request
+    was refused; each waited until its deadline, and late requests took slots
+    from those still in time.
+
+    Of 1,276 requests given up, all of one of four databases, 548 had never
+    been sent and 475 timed out at the upstream, while idle replicas were
+    reported as behind the log position. In this simulation 386 of 1,260
+    operations' attempts failed after waiting.
     """
 
-    def test_nobody_waits_in_vain(self):
-        """What cannot be served is refused on arrival, the rest is in time."""
-        tallies = played(158, 10_000, seed=1).tallies
+    def test_few_requests_fail_after_waiting(self):
+        """Requests that cannot be served in time are refused on arrival."""
+        tallies = simulated(158, 10_000, seed=1).tallies
         begun = sum(tally.begun for tally in tallies.values())
-        waited = sum(tally.waited_in_vain for tally in tallies.values())
-        self.assertLess(waited, 0.02 * begun)
+        failed = sum(tally.failed_after_waiting for tally in tallies.values())
+        self.assertLess(failed, 0.02 * begun)
         in_goal = sum(tally.in_goal for tally in tallies.values())
         self.assertGreater(in_goal, 0.6 * begun)
 
     def test_saves_go_first(self):
-        """They are of a higher priority, and only the primary takes them."""
-        tally = played(158, 10_000, seed=1).tallies['save']
+        """Saves have a higher priority, and only the primary serves them."""
+        tally = simulated(158, 10_000, seed=1).tallies['save']
         self.assertGreater(tally.done, 0.95 * tally.begun)
 
 
 class ManyConnectionsTest(testtools.TestCase):
-    """Pattern: upstreams of two slots take far more connections than that.
-
-    Symptom: two of five statements that come to upstreams are refused, and
-    saves are late. Sequence: 64 proxies share 94 connections to an upstream
-    and 23 of them are owners; both replicas apply late; each owner has as
-    much at work at the primary as its share allows, or one statement at
-    least; its queue of 24 is full, and what is refused comes again. Cause: as
-    many owners as connections allowed, whatever they have to share. Proof:
-    32,104 of 80,860 arrivals refused on a day with 64 proxies; in this model
-    a seventh to a quarter of them by a full queue.
+    """Upstreams with two slots accept far more connections than that.
+
+    Guards against two of five statements being refused by upstreams, and late
+    saves. 64 proxies share 94 connections to an upstream, 23 of them are
+    owners, and both replicas lag. Each owner runs as many statements at the
+    primary as its share allows, or at least one; the primary's queue of 24 is
+    full, and refused statements are sent again. The number of owners depended
+    only on the number of connections, not on the slots that they share.
+
+    On a day with 64 proxies 32,104 of 80,860 arriving statements were
+    refused; in this simulation a full queue refused a seventh to a quarter.
     """
 
-    def crowds(self) -> list[load_simulation.LoadSimulation]:
-        """Play crowds before the owners that a fleet of 64 chooses."""
+    def simulations(self) -> list[load_simulation.LoadSimulation]:
+        """Run simulations with the owners that a fleet of 64 chooses."""
         proxies = [ownership.Proxy(f'p{n}', 'abc'[n % 3]) for n in range(64)]
         owners = len(ownership.select_owners('s', proxies, 94).owners)
-        found = []
+        finished = []
         for seed in (1, 2):
-            playing = load_simulation.LoadSimulation(
+            simulation = load_simulation.LoadSimulation(
                 seed,
                 (
                     simulated_callers.OperationKind(
@@ -123,34 +126,36 @@
                 share=connections.share_of(94, owners, owners - 1),
                 slots=2,
             )
-            playing.run(2000)
-            playing.forget()
-            for replica in playing.replicas():
+            simulation.run(2000)
+            simulation.reset_tallies()
+            for replica in simulation.replicas():
                 replica.lag_ms = 10_000
-            playing.run(5000)
-            found.append(playing)
-        return found
-
-    def test_hardly_anything_is_refused_by_a_full_queue(self):
-        """Statements wait where the urgent go first. The aim is 5%."""
-        for playing in self.crowds():
-            arrived = sum(u.arrived for u in playing.upstreams.values())
+            simulation.run(5000)
+            finished.append(simulation)
+        return finished
+
+    def test_few_statements_are_refused_by_a_full_queue(self):
+        """Statements wait at owners, ordered by priority. The goal is 5%."""
+        for simulation in self.simulations():
+            arrived = sum(u.arrived for u in simulation.upstreams.values())
             refused = sum(
                 u.refused[statements.Code.BUSY]
-                for u in playing.upstreams.values()
+                for u in simulation.upstreams.values()
             )
             self.assertLess(refused, 0.05 * arrived)
-            begun = sum(t.begun for t in playing.tallies.values())
-            waited = sum(t.waited_in_vain for t in playing.tallies.values())
-            self.assertLess(waited, 0.02 * begun)
+            begun = sum(t.begun for t in simulation.tallies.values())
+            failed = sum(
+                t.failed_after_waiting for t in simulation.tallies.values()
+            )
+            self.assertLess(failed, 0.02 * begun)
 
 
-class CalmTest(testtools.TestCase):
-    """Pattern: replicas keep up, and half of the slots would do."""
+class NormalLoadTest(testtools.TestCase):
+    """Replicas keep up, and half of the slots would be sufficient."""
 
-    def test_hardly_anyone_is_refused(self):
-        """Being ready to refuse costs nothing in calm times."""
-        tallies = played(158, 150, seed=2).tallies
+    def test_few_requests_are_refused(self):
+        """Early refusal does not affect requests at normal load."""
+        tallies = simulated(158, 150, seed=2).tallies
         for tally in tallies.values():
             self.assertGreater(tally.in_goal, 0.95 * tally.begun)
-            self.assertEqual(0, tally.waited_in_vain)
+            self.assertEqual(0, tally.failed_after_waiting)
