--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -10,8 +10,8 @@
 from topazring.core import places
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import request_queues
@@ -50,7 +50,7 @@
 
 def may_have_run(work: states.Work) -> bool:
     """Return whether an upstream has received or answered the request."""
-    return bool(work.running) or work.ready is not None
+    return bool(work.running) or work.unproven_answer is not None
 
 
 def answer(
@@ -62,19 +62,19 @@
     their replies are discarded.
     """
     del state.work[work.request.key]
-    if work.queued:
+    if work.is_queued:
         request_queues.remove(state, work)
     state.counters[_label(outcome)] += 1
     answered = messages.Answer(work.request.key, outcome)
-    if not work.told:
+    if not work.is_traced:
         return [answered]
     return [answered, _answered_event(work, outcome)]
 
 
 def _answered_event(
     work: states.Work, outcome: outcomes.Outcome
-) -> messages.Decided:
-    return messages.Decided(
+) -> messages.LogDecision:
+    return messages.LogDecision(
         'answered',
         work.request.statement.request_id,
         {
@@ -110,7 +110,7 @@
     at_primary = connection.upstream == state.primary
     if at_primary and needs_ms <= proofs.proven_until_ms(state):
         return answer(state, work, outcome)
-    work.needs_ms = needs_ms
+    work.proof_needed_ms = needs_ms
     return _hold_for_proof(state, work, outcome, needs_ms)
 
 
@@ -134,8 +134,8 @@
     at_ms: int,
 ) -> list:
     """Hold an answer until leadership is proved for a time or later."""
-    work.ready = outcome
-    state.held.add(work.request.key)
+    work.unproven_answer = outcome
+    state.awaiting_proof.add(work.request.key)
     proofs.request_proof(state, at_ms)
     return []
 
@@ -152,7 +152,7 @@
     A write is durable once it survives the loss of its primary. Until then
     its answer is held.
     """
-    confirmation = known_places.Confirmation(
+    confirmation = position_records.Confirmation(
         connection.upstream,
         connection.sent_ms,
         now_ms,
@@ -174,11 +174,11 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
     outcome: outcomes.Done,
 ) -> list:
     reply_effects.note_confirmed(state, confirmation)
-    state.unsure_ms = states.NEVER_MS
+    state.unproven_write_ms = states.NEVER_MS
     events = _acknowledged_events(state, now_ms, work, confirmation)
     return events + answer(state, work, outcome)
 
@@ -187,7 +187,7 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> list:
     """Return a log event with the state of the members if one is unusual.
 
@@ -195,8 +195,8 @@
     the primary is not leaving.
     """
     is_usual = all(
-        upstream.vouches and not upstream.held_term
-        for upstream in states.others(state)
+        upstream.is_established and not upstream.held_term
+        for upstream in states.other_members(state)
     )
     if is_usual and not state.upstreams[state.primary].leaving:
         return []
@@ -204,10 +204,10 @@
         upstream.name: {
             'log_end': str(upstream.log_end),
             'held_term': upstream.held_term,
-            'reported_ms_ago': now_ms - upstream.reported_sent_ms,
-            'listed_for_ms': now_ms - upstream.come_ms,
+            'reported_ms_ago': now_ms - upstream.answered_status_sent_ms,
+            'listed_for_ms': now_ms - upstream.first_listed_ms,
         }
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
     }
     inputs = {
         'upstream': confirmation.upstream,
@@ -216,30 +216,30 @@
         'members': members,
     }
     request_id = work.request.statement.request_id
-    return [messages.Decided('acknowledged', request_id, inputs)]
+    return [messages.LogDecision('acknowledged', request_id, inputs)]
 
 
 def answer_proven(state: states.GroupState, now_ms: int) -> list:
     """Answer requests whose leadership proof has been obtained."""
-    if not state.held:
+    if not state.awaiting_proof:
         return []
     outs: list = []
-    for key in sorted(state.held):
+    for key in sorted(state.awaiting_proof):
         work = state.work.get(key)
-        if work is None or work.ready is None:
-            state.held.discard(key)
-        elif work.ready.served_by != state.primary:
+        if work is None or work.unproven_answer is None:
+            state.awaiting_proof.discard(key)
+        elif work.unproven_answer.served_by != state.primary:
             outs += _complete_after_replacement(state, now_ms, work)
         elif work.confirmation is not None:
             outs += _acknowledge_if_durable(state, now_ms, work)
     # A write acknowledged just now also proves leadership for the reads
     # that came before it.
     proven = proofs.proven_until_ms(state)
-    for key in sorted(state.held):
+    for key in sorted(state.awaiting_proof):
         work = state.work[key]
-        if work.confirmation is None and work.needs_ms <= proven:
-            state.held.discard(key)
-            outs += answer(state, work, work.ready)
+        if work.confirmation is None and work.proof_needed_ms <= proven:
+            state.awaiting_proof.discard(key)
+            outs += answer(state, work, work.unproven_answer)
     return outs
 
 
@@ -249,8 +249,10 @@
     confirmation = work.confirmation
     if not confirmations.is_durable(state, now_ms, confirmation):
         return []
-    state.held.discard(work.request.key)
-    return _acknowledge(state, now_ms, work, confirmation, work.ready)
+    state.awaiting_proof.discard(work.request.key)
+    return _acknowledge(
+        state, now_ms, work, confirmation, work.unproven_answer
+    )
 
 
 def _complete_after_replacement(
@@ -266,16 +268,16 @@
         is_kept = confirmations.is_in_successor_log(state, work.confirmation)
     if is_kept is None:
         return []
-    state.held.discard(work.request.key)
+    state.awaiting_proof.discard(work.request.key)
     if is_kept:
-        return answer(state, work, work.ready)
+        return answer(state, work, work.unproven_answer)
     return _requeue_or_fail_replaced(state, now_ms, work)
 
 
 def _requeue_or_fail_replaced(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    work.ready = None
+    work.unproven_answer = None
     if not has_no_lasting_effect(work):
         # The successor's log may or may not include the write.
         return give_up(state, now_ms, work, Reason.REPLACED, 0, maybe_ran=True)
@@ -296,16 +298,16 @@
     request = work.request
     confirmation = work.confirmation
     if confirmation is not None and confirmation.upstream == state.primary:
-        state.unsure_ms = now_ms
+        state.unproven_write_ms = now_ms
     outcome = unserved_outcome(work, reason, retry_after_ms, maybe_ran)
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'gave up',
         request.statement.request_id,
         {
             'outcome': type(outcome).__name__,
             'reason': str(reason),
             'after_ms': now_ms - request.arrived_ms,
-            'offered': work.offered_ms is not None,
+            'offered': work.first_sent_ms is not None,
             'line': _queue_name(work),
             'primary': state.primary,
             'primary_lost_ms': (
@@ -346,7 +348,7 @@
 
 def _queue_name(work: states.Work) -> str:
     """Return the name of the queue in which a request waited."""
-    if work.is_moved:
+    if work.is_moved_to_primary:
         return 'primary, moved there'
     return 'primary' if work.primary_only else 'any'
 
@@ -370,7 +372,7 @@
     if evicted_key is None:
         return []
     evicted = state.work[evicted_key]
-    evicted.queued = False
+    evicted.is_queued = False
     return give_up(state, now_ms, evicted, Reason.BACKLOG, BACKLOG_RETRY_MS)
 
 
@@ -383,7 +385,7 @@
 ) -> list:
     """Put a request that did not run back in its queue."""
     state.counters[f'retry_{reason}'] += 1
-    work.told = True
+    work.is_traced = True
     work.last_reason = reason
     work.not_before_ms = now_ms + pause_ms
     if work.running:
@@ -392,7 +394,7 @@
     outs = enqueue(state, now_ms, work)
     return [
         *outs,
-        messages.Decided(
+        messages.LogDecision(
             'retries',
             work.request.statement.request_id,
             {
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -139,7 +139,9 @@
 
 def is_final(request: messages.Request, outcome: outcomes.Outcome) -> bool:
     """Return whether an owner's answer is final, so no other is tried."""
-    if request.goes_on or not isinstance(outcome, outcomes.NotRun):
+    if request.continues_transaction or not isinstance(
+        outcome, outcomes.NotRun
+    ):
         return True
     return outcome.reason not in FORWARDABLE_REASONS
 
@@ -149,7 +151,7 @@
 ) -> outcomes.Outcome | None:
     """Return the outcome after a lost link, None to try another owner."""
     is_commit = request.statement.verb is statements.Verb.COMMIT
-    if request.goes_on:
+    if request.continues_transaction:
         if is_commit and lost.sent:
             return outcomes.Unknown(Reason.OWNER_LOST)
         return outcomes.NotRun(Reason.TRANSACTION_LOST, 0)
--- a/topazring/core/synchronous/queue_report.py
+++ b/topazring/core/synchronous/queue_report.py
@@ -55,9 +55,9 @@
             if connection.transaction
             else ConnectionUse.IDLE
         )
-    if connection.errand is states.Errand.BEGINNING:
+    if connection.purpose is states.Purpose.BEGIN_TRANSACTION:
         return ConnectionUse.WORKING
-    if connection.errand is not states.Errand.STATEMENT:
+    if connection.purpose is not states.Purpose.STATEMENT:
         return ConnectionUse.OTHER
     return (
         ConnectionUse.WORKING
@@ -68,25 +68,25 @@
 
 def report_long_waits(
     state: states.GroupState, now_ms: int
-) -> list[messages.Decided]:
+) -> list[messages.LogDecision]:
     """Return a log event with the state of the queues if a wait is long.
 
     There is at most one event each `PERIOD_MS`.
     """
-    if now_ms - state.line_told_ms < PERIOD_MS:
+    if now_ms - state.queue_reported_ms < PERIOD_MS:
         return []
-    waiting = [work for work in state.work.values() if work.queued]
+    waiting = [work for work in state.work.values() if work.is_queued]
     oldest_ms = min(
         (work.request.arrived_ms for work in waiting), default=now_ms
     )
     if now_ms - oldest_ms < LONG_WAIT_MS:
         return []
-    state.line_told_ms = now_ms
+    state.queue_reported_ms = now_ms
     inputs = {
         'oldest_ms': now_ms - oldest_ms,
         **_describe(state, now_ms, waiting),
     }
-    return [messages.Decided('line stands', inputs=inputs)]
+    return [messages.LogDecision('line stands', inputs=inputs)]
 
 
 def _describe(
@@ -97,7 +97,9 @@
     newest_ms = freshness.newest_sample_ms(state)
     return {
         'for_primary': for_primary,
-        'of_them_reads_moved': sum(work.is_moved for work in waiting),
+        'of_them_reads_moved': sum(
+            work.is_moved_to_primary for work in waiting
+        ),
         'for_any': len(waiting) - for_primary,
         'primary': state.primary,
         'sample_age_ms': None if newest_ms is None else now_ms - newest_ms,
@@ -115,8 +117,8 @@
     counts = count_uses(state, upstream.name)
     text = ' '.join(f'{use} {counts[use]}' for use in ConnectionUse)
     text += f' ms {upstream.service_ms:.0f}'
-    if states.lacks_lately(upstream, now_ms):
-        text += f' lacks {upstream.lacked}'
+    if states.is_recently_lagging(upstream, now_ms):
+        text += f' lacks {upstream.missing_place}'
     if upstream.is_full:
         text += ' full'
     return f'{text} place {upstream.place}'
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -47,11 +47,11 @@
 Handler = collections.abc.Callable[
     [states.GroupState, int, states.Connection, messages.Replied], list
 ]
-_handlers: dict[states.Errand, Handler] = {}
+_handlers: dict[states.Purpose, Handler] = {}
 
 
 def _handler_for(
-    purpose: states.Errand,
+    purpose: states.Purpose,
 ) -> collections.abc.Callable[[Handler], Handler]:
     def register(handler: Handler) -> Handler:
         _handlers[purpose] = handler
@@ -68,7 +68,7 @@
 ) -> list:
     """Process the replies to the commands sent on a connection."""
     outs = record_log_positions(state, now_ms, connection, message.replies)
-    handler = _handlers[connection.errand]
+    handler = _handlers[connection.purpose]
     return outs + handler(state, now_ms, connection, message)
 
 
@@ -105,13 +105,13 @@
             )
             if reply.place is not None and upstream.name == state.primary:
                 sample = places.Sample(connection.sent_ms, reply.place)
-                state.pending.append(sample)
+                state.pending_samples.append(sample)
     proofs.apply_proof(state)
     return outs
 
 
-@_handler_for(states.Errand.GUARD)
-@_handler_for(states.Errand.UNDOING)
+@_handler_for(states.Purpose.LEADERSHIP_CHECK)
+@_handler_for(states.Purpose.ABORT)
 def _release_connection(
     state: states.GroupState,
     now_ms: int,
@@ -123,7 +123,7 @@
     )
 
 
-@_handler_for(states.Errand.LOOK)
+@_handler_for(states.Purpose.STATUS_QUERY)
 def _after_status_query(
     state: states.GroupState,
     now_ms: int,
@@ -142,7 +142,7 @@
     return outs
 
 
-@_handler_for(states.Errand.BEGINNING)
+@_handler_for(states.Purpose.BEGIN_TRANSACTION)
 def _after_begin(
     state: states.GroupState,
     now_ms: int,
@@ -165,7 +165,9 @@
             state, now_ms, connection, last
         )
     else:
-        return transactions.first_statement(state, now_ms, connection, work)
+        return transactions.send_first_statement(
+            state, now_ms, connection, work
+        )
     if work is None:
         return outs
     work.running.discard(connection.number)
@@ -174,7 +176,7 @@
     )
 
 
-@_handler_for(states.Errand.STATEMENT)
+@_handler_for(states.Purpose.STATEMENT)
 def _after_statement(
     state: states.GroupState,
     now_ms: int,
@@ -187,13 +189,13 @@
     commands = connection.commands
     refusal = exchanges.first_refusal(commands, message.replies)
     if connection.transaction:
-        return transactions.ran(state, now_ms, connection, work, last)
+        return transactions.handle_reply(state, now_ms, connection, work, last)
     outs = reply_effects.release_connection(state, now_ms, connection, last)
     if work is None:
         state.counters['late_result'] += 1
         return outs
     work.running.discard(connection.number)
-    if work.ready is not None:
+    if work.unproven_answer is not None:
         # Another copy of this read has been answered already, and its answer
         # waits for a leadership proof.
         return outs
@@ -224,9 +226,9 @@
     took_ms = now_ms - connection.sent_ms
     upstream.service_ms += (took_ms - upstream.service_ms) * SERVICE_WEIGHT
     upstream.service_ms = max(MIN_SERVICE_MS, upstream.service_ms)
-    upstream.service_told_ms = now_ms
+    upstream.service_updated_ms = now_ms
     concurrency_limit.adjust_limit(state, upstream)
-    upstream.lacked_pause_ms = 0
+    upstream.lagging_pause_ms = 0
     retries.earn(state.budget)
 
 
@@ -299,10 +301,10 @@
     for command in commands:
         after = getattr(command, 'after', None)
         if after is not None:
-            upstream.lacked = after
-            upstream.lacked_ms = now_ms
-    upstream.lacked_pause_ms = min(
-        max(LAGGING_PAUSE_MS, upstream.lacked_pause_ms * 2),
+            upstream.missing_place = after
+            upstream.lagging_ms = now_ms
+    upstream.lagging_pause_ms = min(
+        max(LAGGING_PAUSE_MS, upstream.lagging_pause_ms * 2),
         MAX_LAGGING_PAUSE_MS,
     )
 
@@ -336,7 +338,7 @@
     outs = record_log_positions(state, now_ms, connection, message.replies)
     outs += connections.handle_closed(state, now_ms, connection, message)
     work = state.work.get(connection.work)
-    if work is None or work.running or work.ready is not None:
+    if work is None or work.running or work.unproven_answer is not None:
         return outs
     return outs + _connection_lost(
         state, now_ms, connection, work, message.reason
@@ -352,8 +354,8 @@
 ) -> list:
     """Complete or requeue a request whose connection ended unanswered."""
     request = work.request
-    was_sent = connection.errand is states.Errand.STATEMENT
-    if request.goes_on:
+    was_sent = connection.purpose is states.Purpose.STATEMENT
+    if request.continues_transaction:
         # Until its COMMIT is sent, the end of the connection rolls the
         # transaction back.
         is_commit = request.statement.verb is statements.Verb.COMMIT
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -83,8 +83,8 @@
     """Return whether an upstream may have applied its log to a position."""
     if upstream.name == state.primary or upstream.place >= position:
         return True
-    is_lagging = states.lacks_lately(upstream, now_ms)
-    return not (is_lagging and upstream.lacked <= position)
+    is_lagging = states.is_recently_lagging(upstream, now_ms)
+    return not (is_lagging and upstream.missing_place <= position)
 
 
 def _readable(state: states.GroupState, now_ms: int) -> list[states.Upstream]:
@@ -195,11 +195,11 @@
     recovered. Its excess over the typical service time therefore decays with
     a half-life of `SERVICE_HALF_LIFE_MS`.
     """
-    excess_ms = upstream.service_ms - states.TYPICAL_MS
+    excess_ms = upstream.service_ms - states.TYPICAL_SERVICE_MS
     if excess_ms <= 0:
         return upstream.service_ms
-    age_ms = now_ms - upstream.service_told_ms
-    return states.TYPICAL_MS + excess_ms * 0.5 ** (
+    age_ms = now_ms - upstream.service_updated_ms
+    return states.TYPICAL_SERVICE_MS + excess_ms * 0.5 ** (
         age_ms / SERVICE_HALF_LIFE_MS
     )
 
@@ -216,7 +216,7 @@
     return any(
         connection.phase is states.Phase.BUSY
         and now_ms - connection.sent_ms > limit_ms
-        and upstream.heard_ms < connection.sent_ms
+        and upstream.last_received_ms < connection.sent_ms
         for connection in states.connections_to(state, upstream.name)
     )
 
--- a/topazring/core/synchronous/tests/simulated_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -90,14 +90,14 @@
         statement = statements.Statement(
             f'r{key}', verb, text, read_only=read_only
         )
-        result = sessions.take(
+        result = sessions.handle_statement(
             self.session,
             int(simulation.now_ms),
             key,
             statement,
             self.kind.policy,
         )
-        if isinstance(result, sessions.Local):
+        if isinstance(result, sessions.LocalAnswer):
             self._continue()
             return
         self._forward(result, forwarding.Plan())
@@ -107,7 +107,7 @@
     ) -> None:
         simulation = self.simulation
         owner = self.owner
-        if not request.goes_on:
+        if not request.continues_transaction:
             loads = simulation.loads[self.entry]
             owner = forwarding.next_owner(
                 plan,
@@ -161,7 +161,7 @@
             self._forward(request, plan)
 
     def _complete(self, request, outcome: outcomes.Outcome) -> None:
-        sessions.finish(self.session, request, outcome)
+        sessions.record_outcome(self.session, request, outcome)
         tally = self.simulation.tallies[self.kind.policy.database]
         if not isinstance(outcome, outcomes.Done):
             waited_ms = self.simulation.now_ms - request.arrived_ms
--- a/topazring/core/synchronous/tests/test_queue_report.py
+++ b/topazring/core/synchronous/tests/test_queue_report.py
@@ -10,7 +10,7 @@
 
 def reports(outs: list) -> list:
     """Return the inputs of the logged queue reports."""
-    return support.decided(outs, 'line stands')
+    return support.decisions(outs, 'line stands')
 
 
 class QueueReportTest(testtools.TestCase):
@@ -27,7 +27,7 @@
         outs = []
         for _ in range(10):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         return driver, outs
 
     def test_shows_the_transaction(self):
@@ -43,7 +43,7 @@
         outs = []
         for _ in range(20):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         self.assertEqual([], reports(outs))
 
     def test_no_report_while_the_queue_moves(self):
