--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -1,7 +1,7 @@
 """Assign waiting requests to upstreams and send them."""
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import retries
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import concurrency_limit
@@ -149,7 +149,7 @@
     now_ms: int,
     work: states.Work,
     connection: states.Connection,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> list:
     request = work.request
     if work.is_queued:
@@ -176,7 +176,7 @@
     now_ms: int,
     work: states.Work,
     connection: states.Connection,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> list:
     """Return a log event with the upstream that a request is sent to.
 
@@ -214,7 +214,7 @@
 ) -> None:
     # A transaction continues at an upstream that is no longer listed.
     upstream = state.upstreams.get(connection.upstream)
-    connection.place_before = places.ORIGIN
+    connection.place_before = log_positions.ORIGIN
     if upstream is not None:
         connection.place_before = upstream.place
     work.running.add(connection.number)
--- a/topazring/core/synchronous/exchanges.py
+++ b/topazring/core/synchronous/exchanges.py
@@ -6,7 +6,7 @@
 caller's transaction.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -79,7 +79,7 @@
 
 
 def statement_command(
-    request: messages.Request, after: places.Place | None = None
+    request: messages.Request, after: log_positions.LogPosition | None = None
 ) -> statements.Command:
     """Return the command that runs the request's own statement."""
     statement = request.statement
@@ -98,7 +98,7 @@
 def single_commands(
     connection: states.Connection,
     request: messages.Request,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> tuple[statements.Command, ...]:
     """Return all commands for a statement outside a transaction.
 
@@ -114,7 +114,7 @@
 def begin_commands(
     connection: states.Connection,
     request: messages.Request,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> tuple[statements.Command, ...]:
     """Return the commands that begin a transaction.
 
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -12,7 +12,7 @@
 import bisect
 import operator
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
@@ -33,7 +33,7 @@
 _sent_ms = operator.attrgetter('sent_ms')
 
 
-def add_sample(state: states.GroupState, sample: places.Sample) -> None:
+def add_sample(state: states.GroupState, sample: log_positions.Sample) -> None:
     """Add a sample unless its position is behind that of the newest one.
 
     Replies arrive on several connections and can overtake each other.
@@ -54,7 +54,9 @@
     return state.samples[-1].sent_ms if state.samples else None
 
 
-def position_at(state: states.GroupState, at_ms: int) -> places.Place | None:
+def position_at(
+    state: states.GroupState, at_ms: int
+) -> log_positions.LogPosition | None:
     """Return a position that the current primary's log had by a given time.
 
     Samples from before its leadership was proved are ignored: an earlier
@@ -76,7 +78,7 @@
 
 def required_place(
     state: states.GroupState, request: messages.Request
-) -> places.Place | None:
+) -> log_positions.LogPosition | None:
     """Return the log position that a replica must have applied for a read.
 
     None means that only the primary may serve the read. Of the samples that
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
@@ -51,7 +51,7 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    position: places.Place,
+    position: log_positions.LogPosition,
 ) -> list[states.Upstream]:
     """Return the upstreams that may serve a read at a log position."""
     readable = _readable(state, now_ms)
@@ -62,7 +62,7 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    position: places.Place,
+    position: log_positions.LogPosition,
     readable: list[states.Upstream],
 ) -> list[states.Upstream]:
     """Return the readable upstreams that are fresh enough for a request."""
@@ -78,7 +78,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    position: places.Place,
+    position: log_positions.LogPosition,
 ) -> bool:
     """Return whether an upstream may have applied its log to a position."""
     if upstream.name == state.primary or upstream.place >= position:
