--- a/topazring/core/synchronous/request_queues.py
+++ b/topazring/core/synchronous/request_queues.py
@@ -62,8 +62,8 @@
     keys = []
     queues = _queues(state, primary_only)
     for priority in sorted(queues):
-        lines = queues[priority].lines
-        ordered = [sorted(lines[name]) for name in queues[priority].turns]
+        heaps = queues[priority].heaps
+        ordered = [sorted(heaps[name]) for name in queues[priority].turns]
         longest = max((len(entries) for entries in ordered), default=0)
         for turn in range(longest):
             keys += [
@@ -77,7 +77,7 @@
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
     if queue.turns and queue.turns[0] == policy.database:
-        entries = queue.lines[policy.database]
+        entries = queue.heaps[policy.database]
         if entries[0][1] == work.request.key:
             admission.pop(queue, now_ms)
             work.is_queued = False
