--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -97,31 +97,31 @@
     work: states.Work,
     connection: states.Connection,
     reply: statements.Reply,
-    needs_ms: int | None = None,
+    proof_needed_ms: int | None = None,
 ) -> list:
     """Answer a successful request with the upstream's rows and signature.
 
-    If `needs_ms` is given, the answer is held until the leadership of the
+    If `proof_needed_ms` is given, the answer is held until the leadership of the
     upstream has been proved for that time.
     """
     outcome = _success_outcome(connection, reply, None)
-    if needs_ms is None:
+    if proof_needed_ms is None:
         return answer(state, work, outcome)
     at_primary = connection.upstream == state.primary
-    if at_primary and needs_ms <= proofs.proven_until_ms(state):
+    if at_primary and proof_needed_ms <= proofs.proven_until_ms(state):
         return answer(state, work, outcome)
-    work.proof_needed_ms = needs_ms
-    return _hold_for_proof(state, work, outcome, needs_ms)
+    work.proof_needed_ms = proof_needed_ms
+    return _hold_for_proof(state, work, outcome, proof_needed_ms)
 
 
 def _success_outcome(
     connection: states.Connection,
     reply: statements.Reply,
-    place: log_positions.LogPosition | None,
+    position: log_positions.LogPosition | None,
 ) -> outcomes.Done:
     return outcomes.Done(
         list(reply.rows),
-        place,
+        position,
         connection.upstream,
         signature=reply.signature or '',
     )
@@ -234,10 +234,10 @@
             outs += _acknowledge_if_durable(state, now_ms, work)
     # A write acknowledged just now also proves leadership for the reads
     # that came before it.
-    proven = proofs.proven_until_ms(state)
+    proven_ms = proofs.proven_until_ms(state)
     for key in sorted(state.awaiting_proof):
         work = state.work[key]
-        if work.confirmation is None and work.proof_needed_ms <= proven:
+        if work.confirmation is None and work.proof_needed_ms <= proven_ms:
             state.awaiting_proof.discard(key)
             outs += answer(state, work, work.unproven_answer)
     return outs
@@ -261,7 +261,8 @@
     """Complete a request answered by an upstream that no longer leads.
 
     The result of a read must not be used. A write is kept if the log with
-    which the successor started includes it.
+    which the successor started includes it; while that is not known, its
+    answer remains held.
     """
     is_kept: bool | None = False
     if work.confirmation is not None:
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -46,8 +46,8 @@
         elif work.unproven_answer is not None:
             outs += _give_up_unproven(state, now_ms, work)
         elif work.is_queued and work.primary_only:
-            outs += _refuse_if_hopeless(state, now_ms, work)
-        elif work.running and _is_stranded(state, now_ms, work):
+            outs += _refuse_early(state, now_ms, work)
+        elif work.running and _is_stuck_at_old_primary(state, now_ms, work):
             outs += _abort(state, now_ms, work, Reason.REPLACED)
         elif state.isolated_with and _is_unconfirmed(state, now_ms, work):
             outs += _abort(state, now_ms, work, Reason.NOT_CONFIRMED)
@@ -102,7 +102,7 @@
     return completion.give_up(state, now_ms, work, reason, retry_ms)
 
 
-def _refuse_if_hopeless(
+def _refuse_early(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     refusal = primary_availability.early_refusal(state, now_ms, work)
@@ -119,8 +119,8 @@
     """Give up a held answer if this proxy cannot obtain what it waits for."""
     if work.confirmation is not None:
         waited_ms = now_ms - work.confirmation.sent_ms
-        is_alone = confirmations.are_replicas_unreachable(state, now_ms)
-        if not is_alone or waited_ms < proofs.UNPROVEN_AFTER_MS:
+        is_cut_off = confirmations.are_replicas_unreachable(state, now_ms)
+        if not is_cut_off or waited_ms < proofs.UNPROVEN_AFTER_MS:
             return []
     elif not proofs.is_leadership_unproven(state, now_ms):
         return []
@@ -130,7 +130,7 @@
     )
 
 
-def _is_stranded(
+def _is_stuck_at_old_primary(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> bool:
     """Return whether a request is stuck at a primary that was replaced.
@@ -149,8 +149,8 @@
         upstream = state.upstreams.get(connection.upstream)
         if connection.upstream == state.primary:
             return False
-        heard_ms = 0 if upstream is None else upstream.last_received_ms
-        if heard_ms > connection.sent_ms:
+        received_ms = 0 if upstream is None else upstream.last_received_ms
+        if received_ms > connection.sent_ms:
             return False
         if now_ms - connection.sent_ms < failure_detection.SILENT_MS:
             return False
@@ -178,11 +178,11 @@
     work: states.Work,
     reason: outcomes.Reason,
 ) -> list:
-    """Give up a request and drop the connections that run it."""
+    """Give up a request and close the connections that run it."""
     outs = completion.give_up(state, now_ms, work, reason, 0, maybe_ran=True)
     for number in list(work.running):
         connection = state.connections.get(number)
-        # The connection of a transaction was dropped with the transaction.
+        # The connection of a transaction was closed with the transaction.
         if connection is not None:
             outs += connections.close_connection(state, connection)
     return outs
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -86,9 +86,9 @@
 class Load:
     """Hold the last known load of an owner for one service."""
 
-    # Requests of this proxy that it has not answered.
+    # Requests of this proxy that the owner has not answered yet.
     under_way: int = 0
-    # Requests that waited there at its last report.
+    # Requests that waited at the owner when it last reported.
     waiting: int = 0
     reported_ms: int = 0
 
@@ -130,9 +130,9 @@
         costs[candidate] = ahead
     if not costs:
         return None
-    least = min(costs.values())
+    lowest_cost = min(costs.values())
     cheapest = [
-        candidate for candidate, cost in costs.items() if cost == least
+        candidate for candidate, cost in costs.items() if cost == lowest_cost
     ]
     return cheapest[turn % len(cheapest)]
 
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -50,7 +50,7 @@
 
 
 def newest_sample_ms(state: states.GroupState) -> int | None:
-    """Return the time at which the newest sample was requested, if any."""
+    """Return the time at which the newest sample's check was sent, if any."""
     return state.samples[-1].sent_ms if state.samples else None
 
 
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -248,8 +248,10 @@
     at_primary = connection.upstream == state.primary
     where = 'primary' if at_primary else 'replica'
     state.counters[f'read_{request.policy.freshness}_at_{where}'] += 1
-    needs_ms = proofs.required_proof_ms(commands, request)
-    return completion.answer_success(state, work, connection, reply, needs_ms)
+    proof_needed_ms = proofs.required_proof_ms(commands, request)
+    return completion.answer_success(
+        state, work, connection, reply, proof_needed_ms
+    )
 
 
 def _requeue_not_run(
