--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -101,8 +101,8 @@
 ) -> list:
     """Answer a successful request with the upstream's rows and signature.
 
-    If `proof_needed_ms` is given, the answer is held until the leadership of the
-    upstream has been proved for that time.
+    If `proof_needed_ms` is given, the answer is held until the leadership of
+    the upstream has been proved for that time.
     """
     outcome = _success_outcome(connection, reply, None)
     if proof_needed_ms is None:
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -87,7 +87,7 @@
     """Hold the last known load of an owner for one service."""
 
     # Requests of this proxy that the owner has not answered yet.
-    under_way: int = 0
+    in_flight: int = 0
     # Requests that waited at the owner when it last reported.
     waiting: int = 0
     reported_ms: int = 0
@@ -95,7 +95,7 @@
     def expected_ahead(self, now_ms: int) -> float:
         """Return the expected number of requests ahead of a new one."""
         age_ms = now_ms - self.reported_ms
-        return self.under_way + self.waiting * 0.5 ** (
+        return self.in_flight + self.waiting * 0.5 ** (
             age_ms / LOAD_HALF_LIFE_MS
         )
 
--- a/topazring/core/synchronous/tests/simulated_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -123,7 +123,7 @@
             plan.tried.append(owner)
             self.owner = owner
         load = simulation.loads[self.entry][owner]
-        load.under_way += 1
+        load.in_flight += 1
         is_local = simulation.centre_of[owner] == self.centre
         hop_ms = (
             LOCAL_DELAY_MS if is_local else simulated_upstreams.REMOTE_DELAY_MS
@@ -151,7 +151,7 @@
     def _handle_answer(
         self, request, plan, load, queue_length, outcome
     ) -> None:
-        load.under_way -= 1
+        load.in_flight -= 1
         load.waiting = queue_length
         load.reported_ms = int(self.simulation.now_ms)
         plan.last = outcome
