--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -100,7 +100,7 @@
         )
 
 
-Weigh = collections.abc.Callable[[str], float | None]
+LoadEstimate = collections.abc.Callable[[str], float | None]
 
 
 def next_owner(
@@ -108,7 +108,7 @@
     owned: ownership.Ownership,
     name: str,
     data_centre: str,
-    weigh: Weigh,
+    weigh: LoadEstimate,
     turn: int,
 ) -> str | None:
     """Return the owner to try next, None if none is left.
--- a/topazring/core/synchronous/tests/test_reads.py
+++ b/topazring/core/synchronous/tests/test_reads.py
@@ -9,7 +9,7 @@
 from topazring.core.synchronous.tests import support
 
 Code = statements.Code
-Place = support.Place
+LogPosition = support.Place
 Verb = support.Verb
 
 
@@ -97,22 +97,24 @@
         driver = support.Driver().ready(centres={'u1': 'there'})
         _, outs = driver.submit(support.BOUNDED)
         (send,) = statement_sends(outs)
-        self.assertEqual(Place(1, 5), send.commands[-1].after)
+        self.assertEqual(LogPosition(1, 5), send.commands[-1].after)
         self.assertNotEqual(['u1'], sent_to(driver, outs))
 
     def test_session_sees_its_own_commit(self):
         """The session's own log position takes precedence if it is newer."""
         driver = support.Driver().ready()
-        _, outs = driver.submit(support.OWN, session_place=Place(1, 9))
+        _, outs = driver.submit(support.OWN, session_place=LogPosition(1, 9))
         (send,) = statement_sends(outs)
-        self.assertEqual(Place(1, 9), send.commands[-1].after)
+        self.assertEqual(LogPosition(1, 9), send.commands[-1].after)
 
     def test_bounded_read_ignores_own_commit(self):
         """Bounded freshness depends on the age of the data only."""
         driver = support.Driver().ready()
-        _, outs = driver.submit(support.BOUNDED, session_place=Place(1, 9))
+        _, outs = driver.submit(
+            support.BOUNDED, session_place=LogPosition(1, 9)
+        )
         (send,) = statement_sends(outs)
-        self.assertEqual(Place(1, 5), send.commands[-1].after)
+        self.assertEqual(LogPosition(1, 5), send.commands[-1].after)
 
     def test_unknown_age_is_not_fresh(self):
         """Without a recent enough sample the primary serves the read."""
@@ -147,7 +149,7 @@
         driver = support.Driver().ready(centres={'u1': 'there', 'u3': 'there'})
         for _ in range(times):
             driver.submit(support.BOUNDED)
-            behind = support.refused(Code.LAGGING, place=Place(1, 3))
+            behind = support.refused(Code.LAGGING, place=LogPosition(1, 3))
             for connection in driver.busy('u2'):
                 driver.reply(connection, behind)
             for connection in driver.busy():
@@ -177,7 +179,7 @@
     def test_replica_that_caught_up_is_used_again(self):
         """Every reply of a replica reports its log position."""
         driver = self.lagging(3)
-        driver.state.upstreams['u2'].place = Place(1, 5)
+        driver.state.upstreams['u2'].place = LogPosition(1, 5)
         _, outs = driver.submit(support.BOUNDED)
         self.assertEqual(['u2'], sent_to(driver, outs))
 
