--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -240,7 +240,7 @@
 
     What the paused ones hold is not enough before they have followed it.
     """
-    start = state.start
+    start = state.primary_start
     if start.upstream == state.primary and place < start.place:
         return False
     return place >= state.acknowledged
@@ -257,14 +257,16 @@
     The last primary's own log holds all that was acknowledged. So a log that
     reaches as far is complete, whoever departed.
     """
-    primaries = frozenset({attempt.old, state.proven, state.last_primary})
+    primaries = frozenset(
+        {attempt.old, state.proven_primary, state.last_primary}
+    )
     for name in primaries:
         report = attempt.reports.get(name)
         if report is None or evidence.began_again(state, name):
             continue
         if place >= report.received:
             return True
-    return not state.departures.may_exceed(now_ms, place, primaries)
+    return not state.departed_members.may_exceed(now_ms, place, primaries)
 
 
 def _may_hold_alone(
@@ -279,7 +281,7 @@
     report = attempt.reports.get(attempt.old)
     if report is None or highest >= report.received:
         return False
-    start = state.start
+    start = state.primary_start
     if start.upstream == attempt.old and highest >= start.place:
         return False
     return highest.log_term < report.term
@@ -291,7 +293,7 @@
     old = state.upstreams.get(attempt.old)
     if attempt.unconfirmed or old is None:
         return floor
-    settled_ms = old.heard_ms - SETTLED_MS
+    settled_ms = old.last_received_ms - SETTLED_MS
     for sample in state.samples:
         if sample.sent_ms <= settled_ms:
             floor = max(floor, sample.place)
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -122,11 +122,11 @@
     waiting.remove(state, work)
     work.primary_only = True
     outs = fates.line_up(state, now_ms, work)
-    if not work.queued:
+    if not work.is_queued:
         return outs
     state.counters['read_moved_to_primary'] += 1
-    work.told = True
-    moved = messages.Decided(
+    work.is_traced = True
+    moved = messages.LogDecision(
         'read needs the primary',
         work.request.statement.request_id,
         {
@@ -146,10 +146,10 @@
     after: places.Place | None,
 ) -> list:
     request = work.request
-    if work.queued:
+    if work.is_queued:
         waiting.take(state, now_ms, work)
-    if work.offered_ms is None:
-        work.offered_ms = now_ms
+    if work.first_sent_ms is None:
+        work.first_sent_ms = now_ms
     pace.begin(connection, now_ms)
     _assign(state, work, connection)
     outs = _tell_sent(state, now_ms, work, connection, after)
@@ -157,10 +157,10 @@
         proofs.want(state, request.arrived_ms)
     if request.begins:
         commands = exchanges.begin(connection, request, after)
-        errand = states.Errand.BEGINNING
+        errand = states.Purpose.BEGIN_TRANSACTION
     else:
         commands = exchanges.single(connection, request, after)
-        errand = states.Errand.STATEMENT
+        errand = states.Purpose.STATEMENT
     outs.append(connections.send(connection, now_ms, errand, commands))
     return outs + questions.ask(state, now_ms)
 
@@ -177,12 +177,12 @@
     Of the ordinary ones a sample is told.
     """
     request = work.request
-    if not work.told and request.key % SAMPLE:
+    if not work.is_traced and request.key % SAMPLE:
         return []
-    work.told = True
+    work.is_traced = True
     upstream = state.upstreams[connection.upstream]
     return [
-        messages.Decided(
+        messages.LogDecision(
             'sent',
             request.statement.request_id,
             {
@@ -212,7 +212,7 @@
         connection.place_before = upstream.place
     work.running.add(connection.number)
     connection.work = work.request.key
-    connection.writing = work.request.writes
+    connection.is_writing = work.request.writes
 
 
 def continue_transaction(
@@ -226,9 +226,9 @@
     connection = state.connections[transaction.connection]
     commands = exchanges.adapt(connection, request)
     commands.append(exchanges.statement_command(request))
-    work.offered_ms = now_ms
+    work.first_sent_ms = now_ms
     _assign(state, work, connection)
-    errand = states.Errand.STATEMENT
+    errand = states.Purpose.STATEMENT
     sent = connections.send(connection, now_ms, errand, tuple(commands))
     return [sent]
 
@@ -240,7 +240,7 @@
     connection.transaction = 0
     rollback = (statements.Rollback(),)
     return [
-        connections.send(connection, now_ms, states.Errand.UNDOING, rollback)
+        connections.send(connection, now_ms, states.Purpose.ABORT, rollback)
     ]
 
 
@@ -270,9 +270,9 @@
     if chosen is None or not retries.spend(state.budget):
         return []
     work.hedges += 1
-    work.told = True
+    work.is_traced = True
     state.counters['hedged'] += 1
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'hedges',
         request.statement.request_id,
         {
--- a/topazring/core/synchronous/line_report.py
+++ b/topazring/core/synchronous/line_report.py
@@ -49,24 +49,24 @@
         return Use.OPENING
     if connection.phase is states.Phase.IDLE:
         return Use.PAUSING if connection.transaction else Use.IDLE
-    if connection.errand is states.Errand.BEGINNING:
+    if connection.purpose is states.Purpose.BEGIN_TRANSACTION:
         return Use.WORKING
-    if connection.errand is not states.Errand.STATEMENT:
+    if connection.purpose is not states.Purpose.STATEMENT:
         return Use.OTHER
     return Use.WORKING if connection.transaction else Use.STATEMENTS
 
 
-def tell(state: states.GroupState, now_ms: int) -> list[messages.Decided]:
+def tell(state: states.GroupState, now_ms: int) -> list[messages.LogDecision]:
     """Tell how the line stands if somebody waits for long."""
-    if now_ms - state.line_told_ms < PERIOD_MS:
+    if now_ms - state.queue_reported_ms < PERIOD_MS:
         return []
-    line = [work for work in state.work.values() if work.queued]
+    line = [work for work in state.work.values() if work.is_queued]
     since_ms = min((work.request.arrived_ms for work in line), default=now_ms)
     if now_ms - since_ms < LONG_MS:
         return []
-    state.line_told_ms = now_ms
+    state.queue_reported_ms = now_ms
     inputs = {'oldest_ms': now_ms - since_ms, **_describe(state, now_ms, line)}
-    return [messages.Decided('line stands', inputs=inputs)]
+    return [messages.LogDecision('line stands', inputs=inputs)]
 
 
 def _describe(
@@ -77,7 +77,7 @@
     newest_ms = freshness.newest_ms(state)
     return {
         'for_primary': for_primary,
-        'of_them_reads_moved': sum(work.is_moved for work in line),
+        'of_them_reads_moved': sum(work.is_moved_to_primary for work in line),
         'for_any': len(line) - for_primary,
         'primary': state.primary,
         'sample_age_ms': None if newest_ms is None else now_ms - newest_ms,
@@ -95,8 +95,8 @@
     counted = uses(state, upstream.name)
     told = ' '.join(f'{use} {counted[use]}' for use in Use)
     told += f' ms {upstream.service_ms:.0f}'
-    if states.lacks_lately(upstream, now_ms):
-        told += f' lacks {upstream.lacked}'
+    if states.is_recently_lagging(upstream, now_ms):
+        told += f' lacks {upstream.missing_place}'
     if upstream.is_full:
         told += ' full'
     return f'{told} place {upstream.place}'
--- a/topazring/core/synchronous/promotion_order.py
+++ b/topazring/core/synchronous/promotion_order.py
@@ -23,7 +23,7 @@
     if attempts.has_list(attempt, now_ms):
         return []
     attempt.reading_list = True
-    return [messages.ReadList(attempt.token)]
+    return [messages.ReadUpstreamList(attempt.token)]
 
 
 def order(
@@ -39,7 +39,7 @@
     attempt.chosen_place = attempt.reports[chosen].received
     attempt.ordered_ms = now_ms
     attempt.ordering = True
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'promotion ordered',
         inputs={
             'old': attempt.old,
@@ -50,13 +50,13 @@
                 for name, report in attempt.reports.items()
             },
             'listed_for_ms': {
-                name: now_ms - upstream.come_ms
+                name: now_ms - upstream.first_listed_ms
                 for name, upstream in state.upstreams.items()
             },
             'after_ms': now_ms - attempt.began_ms,
         },
     )
-    return [decided, messages.Order(chosen, attempt.token)]
+    return [decided, messages.OrderPromotion(chosen, attempt.token)]
 
 
 def repeat(
@@ -71,11 +71,11 @@
     if not attempts.has_list(attempt, now_ms):
         return read_list(now_ms, attempt)
     attempt.ordering = True
-    return [messages.Order(attempt.chosen, attempt.token)]
+    return [messages.OrderPromotion(attempt.chosen, attempt.token)]
 
 
 def ordered(
-    state: states.GroupState, now_ms: int, message: messages.Ordered
+    state: states.GroupState, now_ms: int, message: messages.PromotionOrdered
 ) -> list:
     """Take in the platform's answer to an order."""
     attempt = state.promotion
@@ -92,7 +92,7 @@
         case messages.OrderResult.REFUSED:
             # Until the platform's service confirms the duty again, another
             # may hold it.
-            state.holds_duty = False
+            state.holds_promotion_lease = False
             return promotion_end.finish(state, now_ms, attempt, 'refused')
 
 
@@ -101,7 +101,7 @@
 ) -> list:
     attempt.accepted = True
     # This order's token outdoes all earlier ones as well.
-    state.unfenced = False
+    state.needs_fencing = False
     old = state.upstreams.get(attempt.old)
     if state.primary == attempt.old:
         state.primary = ''
--- a/topazring/core/synchronous/prospects.py
+++ b/topazring/core/synchronous/prospects.py
@@ -64,9 +64,9 @@
         if needs_proof and proofs.in_doubt(state, now_ms):
             return outcomes.NotRun(Reason.UNPROVEN, ELSEWHERE_MS)
         return None
-    if now_ms - since_ms > state.gap_ms * OVERDUE_TIMES:
+    if now_ms - since_ms > state.typical_outage_ms * OVERDUE_TIMES:
         return outcomes.NotRun(Reason.NO_PRIMARY, ELSEWHERE_MS)
-    back_ms = since_ms + int(state.gap_ms)
+    back_ms = since_ms + int(state.typical_outage_ms)
     if back_ms > work.deadline_ms:
         return outcomes.NotRun(Reason.NO_PRIMARY, back_ms - now_ms)
     return None
@@ -89,4 +89,4 @@
 def note_gap(state: states.GroupState, gap_ms: int) -> None:
     """Learn from a gap that ended."""
     gap_ms = min(MOST_GAP_MS, max(LEAST_GAP_MS, gap_ms))
-    state.gap_ms += (gap_ms - state.gap_ms) * GAP_WEIGHT
+    state.typical_outage_ms += (gap_ms - state.typical_outage_ms) * GAP_WEIGHT
--- a/topazring/core/synchronous/settling.py
+++ b/topazring/core/synchronous/settling.py
@@ -3,8 +3,8 @@
 from topazring.core import places
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import freshness
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import pace
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -35,7 +35,7 @@
 
 
 def note_confirmed(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> None:
     """Take in a write whose confirmation is sound.
 
--- a/topazring/core/synchronous/tests/test_newcomers.py
+++ b/topazring/core/synchronous/tests/test_newcomers.py
@@ -235,7 +235,7 @@
         driver = self.lost()
         outs = failing.answer_controls(driver)
         self.assertEqual([], support.orders(outs))
-        outs = driver.post(messages.ListRead(self.token(driver)))
+        outs = driver.post(messages.UpstreamListRead(self.token(driver)))
         self.assertEqual(1, len(support.orders(outs)))
 
     def test_newcomer_that_alone_holds_a_write_is_chosen(self):
@@ -244,7 +244,7 @@
         failing.answer_controls(driver)
         driver.list_upstreams(primary='', names=FOUR, revision=2)
         driver.open_all()
-        outs = driver.post(messages.ListRead(self.token(driver)))
+        outs = driver.post(messages.UpstreamListRead(self.token(driver)))
         self.assertEqual([], support.orders(outs))
         outs = failing.answer_controls(driver, u4=WITH)
         (order,) = support.orders(outs)
@@ -255,9 +255,11 @@
         driver = self.lost()
         failing.answer_controls(driver)
         token = self.token(driver)
-        (order,) = support.orders(driver.post(messages.ListRead(token)))
+        (order,) = support.orders(
+            driver.post(messages.UpstreamListRead(token))
+        )
         accepted = messages.OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, token, accepted))
+        driver.post(messages.PromotionOrdered(order.upstream, token, accepted))
         driver.tick(60)
         proving.answer_questions(driver, order.upstream, support.ok())
         self.assertEqual(order.upstream, driver.state.primary)
@@ -273,12 +275,18 @@
         """Guards against an order by one that hears of nothing new."""
         driver = self.lost()
         failing.answer_controls(driver)
-        outs = driver.post(messages.ListRead(self.token(driver), False))
+        outs = driver.post(
+            messages.UpstreamListRead(self.token(driver), False)
+        )
         self.assertEqual([], support.orders(outs))
         for _ in range(60):
             outs += driver.tick(20) + failing.answer_controls(driver)
         self.assertEqual([], support.orders(outs))
-        yields = [out for out in outs if isinstance(out, messages.YieldDuty)]
+        yields = [
+            out
+            for out in outs
+            if isinstance(out, messages.YieldPromotionLease)
+        ]
         self.assertEqual('the list cannot be read', yields[0].why)
 
     def test_order_is_repeated_only_on_a_new_list(self):
@@ -286,10 +294,14 @@
         driver = self.lost()
         failing.answer_controls(driver)
         token = self.token(driver)
-        (order,) = support.orders(driver.post(messages.ListRead(token)))
+        (order,) = support.orders(
+            driver.post(messages.UpstreamListRead(token))
+        )
         driver.now_ms += 900
         lost = messages.OrderResult.UNANSWERED
-        outs = driver.post(messages.Ordered(order.upstream, token, lost))
+        outs = driver.post(
+            messages.PromotionOrdered(order.upstream, token, lost)
+        )
         self.assertEqual([], support.orders(outs))
 
 
