--- a/topazring/core/synchronous/restart.py
+++ b/topazring/core/synchronous/restart.py
@@ -7,7 +7,7 @@
 """
 
 from topazring.core import outcomes
-from topazring.core.synchronous import fates
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import state as states
 
 __all__ = ['outcome_after_restart', 'recreate_state']
@@ -30,7 +30,7 @@
     if work is None:
         return outcomes.Unknown(reason)
     was_sent = work.first_sent_ms is not None
-    return fates.unserved(work, reason, RETRY_MS, was_sent)
+    return completion.unserved_outcome(work, reason, RETRY_MS, was_sent)
 
 
 def recreate_state(state: states.GroupState) -> states.GroupState:
