--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -75,7 +75,7 @@
     )
     if not wanted or state.fence_token:
         return []
-    if now_ms - proofs.proven_ms(state) > PROOF_MAX_AGE_MS:
+    if now_ms - proofs.proven_until_ms(state) > PROOF_MAX_AGE_MS:
         return []
     primary = state.upstreams[state.primary]
     if now_ms - primary.begin_accepted_sent_ms > PROOF_MAX_AGE_MS:
