--- a/topazring/core/synchronous/__init__.py
+++ b/topazring/core/synchronous/__init__.py
@@ -1,1 +1,1 @@
-"""Decide for groups whose writes wait for a replica's receipt."""
+"""Decision logic for groups with synchronous replication."""
--- a/topazring/core/synchronous/arrival.py
+++ b/topazring/core/synchronous/arrival.py
@@ -1,4 +1,4 @@
-"""Take in requests: admit them, or refuse at once what would be too late."""
+"""Admit requests, or refuse those that cannot be answered in time."""
 
 from topazring.core import outcomes
 from topazring.core.synchronous import completion
@@ -14,25 +14,25 @@
 
 Reason = outcomes.Reason
 
-# Part of a request's time that its wait in line may be expected to take. The
-# rest is for the statement itself and for an estimate that was too low.
+# Share of the remaining time of a request that its expected wait in the queue
+# may take. The rest covers the statement itself and errors of the estimate.
 WAIT_SHARE = 0.8
-# Part of the latency goal within which an answer has to be expected for a
-# request to be let in. A longer line serves no more callers, it serves all of
-# them later: of a played crowd before one upstream 51% were in time with a
-# line as long as their deadlines, 67% with this.
+# Share of the latency goal within which an answer has to be expected for a
+# request to be admitted. A longer queue serves no more callers, it only delays
+# all of them: in a load simulation with one upstream, 51% of the requests were
+# in time with a queue bounded by their deadlines, and 67% with this bound.
 GOAL_SHARE = 0.5
-# But what is expected within this is never refused: to come back costs a
-# caller as much.
-LEAST_PATIENCE_MS = 150
-# A caller that comes back sooner finds the line as it was.
-LEAST_RETRY_MS = 20
+# A request is never refused if its expected wait is below this: a retry costs
+# the caller as much.
+MIN_WAIT_LIMIT_MS = 150
+# A caller that retries sooner finds the queue unchanged.
+MIN_RETRY_MS = 20
 
 
 def submit(
     state: states.GroupState, now_ms: int, message: messages.Submit
 ) -> list:
-    """Take in a request and serve it if anything is free."""
+    """Admit or refuse a request, and start it if there is capacity."""
     request = message.request
     deadline_ms = request.arrived_ms + request.policy.timeout_ms
     work = states.Work(request, deadline_ms)
@@ -52,24 +52,24 @@
 def _refusal(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> outcomes.NotRun | None:
-    """Refuse what cannot be served in time, before it has waited at all."""
+    """Return the refusal of a request that cannot be served in time."""
     if work.primary_only:
-        hopeless = primary_availability.early_refusal(state, now_ms, work)
-        if hopeless is not None:
-            return hopeless
+        unavailable = primary_availability.early_refusal(state, now_ms, work)
+        if unavailable is not None:
+            return unavailable
     wait_ms = _expected_wait_ms(state, now_ms, work)
-    patience_ms = _patience_ms(now_ms, work)
-    if wait_ms <= patience_ms:
+    wait_limit_ms = _wait_limit_ms(now_ms, work)
+    if wait_ms <= wait_limit_ms:
         return None
-    # By then the line is short enough, if it moves on as expected.
-    retry_ms = max(LEAST_RETRY_MS, int(wait_ms - patience_ms))
+    # By then the queue is short enough if it advances as estimated.
+    retry_ms = max(MIN_RETRY_MS, int(wait_ms - wait_limit_ms))
     return outcomes.NotRun(Reason.OVERLOAD, retry_ms)
 
 
 def _expected_wait_ms(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> float:
-    """Estimate how long until a request is answered; 0 if none waits."""
+    """Estimate the time to the answer of a request; 0 if none is queued."""
     policy = work.request.policy
     ahead = request_queues.count_ahead(state, work.primary_only, policy)
     at_primary = 0
@@ -77,33 +77,33 @@
         at_primary = request_queues.count_ahead(state, True, policy)
     if not ahead and not at_primary:
         return 0.0
-    able = routing.candidates(state, now_ms, work)
-    if all(upstream.name == state.primary for upstream in able):
-        # The primary's own line goes before it.
+    candidates = routing.candidates(state, now_ms, work)
+    if all(upstream.name == state.primary for upstream in candidates):
+        # Requests queued for the primary are served before it.
         ahead += at_primary
-    wait_ms = concurrency_limit.expected_wait_ms(state, ahead, able)
+    wait_ms = concurrency_limit.expected_wait_ms(state, ahead, candidates)
     if not wait_ms:
         return 0.0
-    return wait_ms + min(upstream.service_ms for upstream in able)
+    return wait_ms + min(upstream.service_ms for upstream in candidates)
 
 
-def _patience_ms(now_ms: int, work: states.Work) -> float:
-    """Return how long a request's answer may be expected to take."""
+def _wait_limit_ms(now_ms: int, work: states.Work) -> float:
+    """Return the longest expected time to an answer that is accepted."""
     left_ms = (work.deadline_ms - now_ms) * WAIT_SHARE
     goal_ms = work.request.policy.latency_goal_ms * GOAL_SHARE
-    return min(left_ms, max(goal_ms, LEAST_PATIENCE_MS))
+    return min(left_ms, max(goal_ms, MIN_WAIT_LIMIT_MS))
 
 
 def withdraw(
     state: states.GroupState, now_ms: int, message: messages.Withdraw
 ) -> list:
-    """Undo a transaction whose session is gone or rolled it back.
+    """Roll back a transaction whose session ended or rolled it back.
 
-    A proxy that loses the stream of another one withdraws its transactions
-    whatever they are at. A first statement that still waits is not begun, and
-    one that is under way is let finish and undone by its answer: closing its
-    connection would cost another dial and leave the upstream with work that
-    nobody reads.
+    A proxy that loses the stream from another one withdraws its transactions
+    in any state. A first statement that is still queued is not started. One
+    that is in flight runs to its end and is rolled back when its reply
+    arrives: closing its connection would cost another dial and leave the
+    upstream running a statement whose result is not read.
     """
     outs: list = []
     for work in list(state.work.values()):
--- a/topazring/core/synchronous/departed_members.py
+++ b/topazring/core/synchronous/departed_members.py
@@ -1,14 +1,15 @@
-"""Reckon with what upstreams held that are listed no more.
-
-A replica that left, or whose entry lapsed, may be the only one that confirmed
-the last writes before its end. One notices by an acknowledged write that is
-gone after the next promotion. All that it confirmed stood in the primary's
-log when it was seen to be gone, so a place that the primary reports after
-that bounds what it may have held: whoever is promoted has to hold that
-place. Until the primary has reported one, nobody can be chosen safely.
-
-Waiting has an end. What nobody that may come back can tell is lost in any
-case, and a group without a primary serves no write.
+"""Track upstreams that are no longer listed and what their logs may hold.
+
+A replica that left, or whose entry expired, may be the only one that confirmed
+the last writes before it ended. If this is ignored, an acknowledged write is
+lost in the next promotion. Everything that it confirmed was in the log of the
+primary when its departure was noticed, so a log position that the primary
+reports after that is an upper bound on the log of the departed member: an
+upstream may only be promoted if its log reaches this bound. Until the primary
+has reported such a position, no candidate is safe.
+
+The wait is limited. Data that no member that may return holds is lost in any
+case, and a group without a primary serves no writes.
 """
 
 import dataclasses
@@ -17,36 +18,38 @@
 
 __all__ = ['DepartedMember', 'DepartedMembers']
 
-# One of whom nothing is known is waited for so long. Its entry lapses after
-# three heartbeats and is missed for two seconds more, so most that crashed are
-# back by then; one that is gone for good must not be waited for. With 10 s a
-# group that lost its primary and a replica for good took no writes for 15 s.
+# How long promotions wait for a departed member without a bound. Its entry
+# expires after three heartbeats and its absence is noticed two seconds later,
+# so most crashed members are back by then; one that is gone permanently must
+# not be waited for. With 10 s, a group that lost its primary and a replica
+# permanently accepted no writes for 15 s.
 UNBOUNDED_WAIT_MS = 3000
-# A bound holds for longer: it stops nobody who has received it, and the
-# longest time for which a replica receives nothing is a third of this.
+# A bound is kept for longer: it does not block candidates whose logs reach it,
+# and a replica receives nothing for at most a third of this time.
 BOUND_LIFETIME_MS = 20_000
-# Stands for all that departed before this process began.
+# Represents all members that departed before this process started.
 BEFORE_START = '(before)'
 
 
 @dataclasses.dataclass(slots=True)
 class DepartedMember:
-    """Hold when an upstream was seen to be gone, and what it had at most."""
+    """Hold when an upstream departed and a bound on its log."""
 
     name: str
     departed_ms: int
-    # It had said so before, or another bears its name now; such a one does
-    # not come back.
+    # It announced that it leaves, or another instance has its name now; it
+    # does not return.
     left: bool = False
-    # None until it is known.
+    # Upper bound on its log position; None until it is known.
     bound: places.Place | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class DepartedMembers:
-    """Hold the upstreams of a group that are listed no more."""
+    """Hold the upstreams of a group that are no longer listed."""
 
-    # By name and birth: one that begins again under its name is another.
+    # By name and start time: an instance recreated under the same name is a
+    # different member.
     known: dict[tuple[str, int], DepartedMember] = dataclasses.field(
         default_factory=dict
     )
@@ -59,72 +62,74 @@
         paused_at: places.Place | None = None,
         born_ms: int = 0,
     ) -> None:
-        """Take in that an upstream is listed no more.
+        """Record that an upstream is no longer listed.
 
-        `paused_at` is where its log ended if it was paused until now.
+        `paused_at` is the end of its log if it was paused until now.
         """
-        departure = DepartedMember(name, now_ms, left, paused_at)
-        self.known[(name, born_ms)] = departure
+        member = DepartedMember(name, now_ms, left, paused_at)
+        self.known[(name, born_ms)] = member
 
     def record_first_place(self, now_ms: int, place: places.Place) -> None:
-        """Take in the first place that a primary reports to this process.
+        """Record the first log position that a primary reports.
 
-        Whoever departed before it began may have confirmed all up to there.
-        That ends like other departures: what hangs unconfirmed at a primary
-        counts in it too, and would keep every replica from following.
+        Members that departed before this process started may have confirmed
+        everything up to it. The record expires like other departures: the
+        position also covers writes that hang unconfirmed at the primary, and
+        without an end it would block every replica from being promoted.
         """
         self.known[(BEFORE_START, 0)] = DepartedMember(
             BEFORE_START, now_ms, bound=place
         )
 
     def remove(self, name: str, born_ms: int = 0) -> None:
-        """Take in that an upstream is back: it can be asked again."""
+        """Remove an upstream that is listed again: it can be queried."""
         self.known.pop((name, born_ms), None)
 
     def record_leader(self, name: str) -> None:
-        """Take in that an upstream leads: whoever bore its name is no matter.
+        """Remove all records under the name of an upstream that leads.
 
-        It began with all that was acknowledged, and it can be asked.
+        It started with all acknowledged writes, and it can be queried.
         """
         for key in [key for key in self.known if key[0] == name]:
             del self.known[key]
 
     def has_departed(self, name: str) -> bool:
-        """Say whether one of that name was listed before."""
-        return any(departure.name == name for departure in self.known.values())
+        """Return whether a member of this name was listed before."""
+        return any(member.name == name for member in self.known.values())
 
     def record_primary_place(self, sent_ms: int, place: places.Place) -> None:
-        """Take in where the primary's log stood after a time of sending."""
-        for departure in self.known.values():
-            if departure.bound is None and departure.departed_ms <= sent_ms:
-                departure.bound = place
+        """Set bounds from a position that the primary was queried for."""
+        for member in self.known.values():
+            if member.bound is None and member.departed_ms <= sent_ms:
+                member.bound = place
 
     def may_exceed(
         self, now_ms: int, place: places.Place, primaries: frozenset[str]
     ) -> list[str]:
-        """Return whom to wait for: their logs may go beyond a place.
+        """Return the members whose logs may extend beyond a position.
 
-        `primaries` are the last ones. Their own logs do not count: what one
-        holds was confirmed by others, or is not acknowledged. But it alone
-        can still say what one that left had, unless it left too.
+        `primaries` are the last ones. Their own logs do not count: their
+        entries were confirmed by others or are not acknowledged. But only a
+        primary can still report what a member that left had, unless the
+        primary left too.
         """
-        ended = any(
-            departure.left
-            for departure in self.known.values()
-            if departure.name in primaries
+        has_primary_left = any(
+            member.left
+            for member in self.known.values()
+            if member.name in primaries
         )
         return [
-            departure.name
-            for departure in self.known.values()
-            if departure.name not in primaries
-            and now_ms - departure.departed_ms < _kept_ms(departure)
-            and not (ended and departure.left)
-            and (departure.bound is None or departure.bound > place)
+            member.name
+            for member in self.known.values()
+            if member.name not in primaries
+            and now_ms - member.departed_ms < _lifetime_ms(member)
+            and not (has_primary_left and member.left)
+            and (member.bound is None or member.bound > place)
         ]
 
 
-def _kept_ms(departure: DepartedMember) -> int:
-    """Return for how long a departure counts."""
-    if departure.bound is None or departure.name == BEFORE_START:
+def _lifetime_ms(member: DepartedMember) -> int:
+    """Return how long a departed member is taken into account."""
+    if member.bound is None or member.name == BEFORE_START:
         return UNBOUNDED_WAIT_MS
     return BOUND_LIFETIME_MS
--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -1,4 +1,4 @@
-"""Drive one group at one proxy: messages in, messages out."""
+"""Dispatch the messages of one group in one proxy to their handlers."""
 
 import collections.abc
 
@@ -36,35 +36,37 @@
 
 SYNCHRONOUS = 'synchronous'
 
-# Without confirmed writes guards at all members keep the age of replicas
-# known. Much longer, and short staleness bounds send reads to the primary;
-# much shorter costs processor time for nothing.
-SAMPLE_MS = 300
-# The holder of the duty asks more often: a loss shows after three misses.
-HEARTBEAT_MS = 100
-# And it asks the replicas where they are, twice before their silence tells.
-FOLLOW_MS = 250
-# While no primary is known every upstream is asked.
-SEARCH_MS = 50
-# A third of the shortest lease: after a longer pause its holder asks whether
-# it still holds it.
+# Interval of leadership checks of all members while no confirmed write shows
+# the lag of the replicas. With a much longer one, reads with short staleness
+# bounds go to the primary; a much shorter one costs processor time without a
+# benefit.
+SAMPLE_INTERVAL_MS = 300
+# Interval for the holder of the promotion lease: the primary is considered
+# lost after three misses.
+LEASE_HOLDER_INTERVAL_MS = 100
+# Interval at which the lease holder also queries the log positions of the
+# replicas: twice before they count as silent.
+REPLICA_CHECK_INTERVAL_MS = 250
+# Interval of checks of every upstream while no primary is known.
+SEARCH_INTERVAL_MS = 50
+# A third of the shortest lease: after a longer pause of its process, the
+# holder checks whether it still holds the lease.
 LEASE_RECHECK_PAUSE_MS = 1000
-# A timer that fires so late means that this process did not run.
-PAUSE_MS = 200
-# Ticks are due so often: deadlines are met to within one while any request
-# is in hand, and what is lost is noticed within one while connections are
-# held.
+# A timer that fires this late means that the process was paused.
+PROCESS_PAUSE_MS = 200
+# Tick intervals: deadlines are met to within one while any request is in
+# progress, and losses are noticed within one while connections are open.
 BUSY_TICK_MS = 20
 TICK_MS = 50
-# A group that this proxy does not own has nothing to look after. Of 195
-# proxies before ten groups each owns one in two dozen. A tick takes some 60
-# us: 20 a second and group were 1.2% of a core, most of what an idle proxy
-# spends, and five are 0.3%.
+# A group that this proxy does not own needs no supervision. With 195 proxies
+# and ten groups, each group is owned by one proxy in two dozen. A tick takes
+# about 60 us: 20 per second and group used 1.2% of a core, most of the load of
+# an idle proxy, and five use 0.3%.
 RESTING_TICK_MS = 200
 
 
 def tick_interval_ms(state: states.GroupState) -> int:
-    """Return how soon a group's next tick is due."""
+    """Return the time until the next tick of a group, in milliseconds."""
     if state.work:
         return BUSY_TICK_MS
     if state.connections or state.holds_promotion_lease:
@@ -77,7 +79,7 @@
 
 
 def _handles(kind: type) -> collections.abc.Callable[[Handler], Handler]:
-    """Register the handler of one kind of message."""
+    """Register the handler of one message type."""
 
     def register(handler: Handler) -> Handler:
         _handlers[kind] = handler
@@ -88,8 +90,8 @@
 
 @groups.register_step(SYNCHRONOUS)
 def step(state: states.GroupState, now_ms: int, message: object) -> list:
-    """Take in one message; return what is to be done about it."""
-    outs = _notice_pause(state, now_ms, message)
+    """Handle one message and return the resulting messages."""
+    outs = _handle_late_message(state, now_ms, message)
     return outs + _handlers[type(message)](state, now_ms, message)
 
 
@@ -106,15 +108,15 @@
     outs = membership.handle_upstream_list(state, now_ms, message)
     outs += primary.adopt_listed_primary(state, now_ms)
     outs += connections.open_missing(state, now_ms)
-    outs += _go_on_promoting(state, now_ms)
+    outs += _continue_promotion(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
 
-def _go_on_promoting(state: states.GroupState, now_ms: int) -> list:
-    """Ask a member at once that has just come, or been reached.
+def _continue_promotion(state: states.GroupState, now_ms: int) -> list:
+    """Let a running promotion query a new or newly reached member at once.
 
-    A new replica that is not paused confirms writes of the old primary. Each
-    tick that its pause waits is time in which one may be lost.
+    A new replica that is not paused confirms writes of the old primary. Until
+    it is paused, each tick is time in which such a write may be lost.
     """
     if state.promotion is None:
         return []
@@ -148,7 +150,7 @@
         return outs
     primary.note_log_position(state, now_ms, upstream, message.place)
     outs += primary.resolve_claims(state, now_ms)
-    outs += _go_on_promoting(state, now_ms)
+    outs += _continue_promotion(state, now_ms)
     outs += connections.open_missing(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
@@ -204,8 +206,8 @@
     state: states.GroupState, now_ms: int, message: messages.Tick
 ) -> list:
     outs: list = []
-    if message.paused_ms >= PAUSE_MS:
-        outs += _wake(state, now_ms, message.paused_ms)
+    if message.paused_ms >= PROCESS_PAUSE_MS:
+        outs += _discard_stale_state(state, now_ms, message.paused_ms)
     outs += isolation.update(state, now_ms)
     outs += queue_report.report_long_waits(state, now_ms)
     outs += expiry.expire(state, now_ms)
@@ -213,7 +215,7 @@
     outs += completion.answer_proven(state, now_ms)
     outs += membership.close_leaving_connections(state, now_ms)
     outs += promotion.tick(state, now_ms)
-    outs += _guard(state, now_ms)
+    outs += _send_leadership_checks(state, now_ms)
     outs += primary.resolve_claims(state, now_ms)
     outs += connections.apply_larger_share(state, now_ms)
     outs += connections.close_excess(state, now_ms)
@@ -221,32 +223,35 @@
     return outs + dispatch.start_waiting(state, now_ms)
 
 
-def _notice_pause(
+def _handle_late_message(
     state: states.GroupState, now_ms: int, message: object
 ) -> list:
-    """Wake before the first message after a pause, whatever it is.
+    """Reset stale state before the first message after a process pause.
 
-    Answers that came during a pause are read before the timer is due. They
-    are old: an upstream that proved to lead before the pause may have been
-    replaced in it. One would notice by orders that bring a replaced primary
-    back.
+    Replies received during a pause are read before the timer fires. They are
+    old: an upstream whose leadership was proved before the pause may have
+    been replaced during it. Without the reset, promotion orders could bring a
+    replaced primary back.
     """
     if isinstance(message, messages.Tick):
         state.last_tick_ms = now_ms
         return []
     silent_ms = now_ms - state.last_tick_ms
     usual_ms = max(TICK_MS, tick_interval_ms(state))
-    if not state.last_tick_ms or silent_ms < PAUSE_MS + usual_ms:
+    if not state.last_tick_ms or silent_ms < PROCESS_PAUSE_MS + usual_ms:
         return []
     state.last_tick_ms = now_ms
-    return _wake(state, now_ms, silent_ms)
+    return _discard_stale_state(state, now_ms, silent_ms)
 
 
-def _wake(state: states.GroupState, now_ms: int, paused_ms: int) -> list:
-    """Trust nothing that was known before this process stood still.
+def _discard_stale_state(
+    state: states.GroupState, now_ms: int, paused_ms: int
+) -> list:
+    """Discard state from before a pause of this process.
 
-    The duty least of all: another proxy has promoted meanwhile if its lease
-    ran out, and demoting that one's choice would leave nobody to lead.
+    After a long pause this includes the promotion lease: if it expired,
+    another proxy may have promoted an upstream meanwhile, and demoting that
+    one would leave the group without a primary.
     """
     state.resumed_ms = now_ms
     outs: list = []
@@ -258,22 +263,22 @@
     for upstream in state.upstreams.values():
         upstream.unresponsive_since_ms = None
         upstream.failed_dials = 0
-    woke = messages.LogDecision('woke', inputs={'paused_ms': paused_ms})
-    return [woke, *outs]
+    decision = messages.LogDecision('woke', inputs={'paused_ms': paused_ms})
+    return [decision, *outs]
 
 
-def _guard(state: states.GroupState, now_ms: int) -> list:
-    """Ask the primary whether it leads, or everyone while it is unknown."""
+def _send_leadership_checks(state: states.GroupState, now_ms: int) -> list:
+    """Send periodic leadership checks to the primary or to all members."""
     lost = primary_availability.lost_since(state, now_ms) is not None
     searching = lost or not state.primary or state.promotion is not None
     searching = searching or isolation.is_probing(state, now_ms)
     searching = searching or proofs.is_leadership_unproven(state, now_ms)
     if searching:
-        period_ms = SEARCH_MS
+        period_ms = SEARCH_INTERVAL_MS
     elif state.holds_promotion_lease:
-        period_ms = HEARTBEAT_MS
+        period_ms = LEASE_HOLDER_INTERVAL_MS
     else:
-        period_ms = SAMPLE_MS
+        period_ms = SAMPLE_INTERVAL_MS
     if now_ms - state.leadership_checked_ms < period_ms:
         return []
     newest_ms = freshness.newest_sample_ms(state)
@@ -286,34 +291,35 @@
             return []
     state.leadership_checked_ms = now_ms
     names = list(state.upstreams)
-    if not searching and not _asks_all(state, now_ms):
+    if not searching and not _must_check_replicas(state, now_ms):
         names = [state.primary]
     else:
-        # Waited for as reads are: a member that is silent has a witness
-        # asked instead.
+        # Request a proof as reads do, so that a witness is queried in place
+        # of a silent member.
         proofs.request_proof(state, now_ms)
     outs: list = []
     for name in names:
-        outs += _guard_one(state, now_ms, name)
+        outs += _check_member(state, now_ms, name)
     return outs
 
 
-def _asks_all(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether replicas are to be asked too whether they lead.
+def _must_check_replicas(state: states.GroupState, now_ms: int) -> bool:
+    """Return whether replicas are to be sent leadership checks as well.
 
-    A place is a sample only once nobody else led at its time. And the holder
-    has to see whether they follow: they refuse the guard and say their place
-    with the refusal, and that takes no slot.
+    A log position becomes a sample only once it is proved that no other
+    member led at its time. The holder of the promotion lease also has to see
+    whether the replicas follow: they refuse the check and report their
+    position with the refusal, which takes no slot.
     """
     if not state.holds_promotion_lease:
         return True
-    if now_ms - state.replicas_checked_ms < FOLLOW_MS:
+    if now_ms - state.replicas_checked_ms < REPLICA_CHECK_INTERVAL_MS:
         return False
     state.replicas_checked_ms = now_ms
     return True
 
 
-def _guard_one(state: states.GroupState, now_ms: int, name: str) -> list:
+def _check_member(state: states.GroupState, now_ms: int, name: str) -> list:
     upstream = state.upstreams.get(name)
     if upstream is None:
         return []
@@ -326,7 +332,7 @@
 
 
 @_handles(messages.Shutdown)
-def _abandon(
+def _shut_down(
     state: states.GroupState, now_ms: int, message: messages.Shutdown
 ) -> list:
     outs: list = []
--- a/topazring/core/synchronous/messages.py
+++ b/topazring/core/synchronous/messages.py
@@ -1,4 +1,4 @@
-"""Type the messages that enter and leave a group's core."""
+"""Define the messages that enter and leave the core of a group."""
 
 import collections.abc
 import dataclasses
@@ -38,19 +38,19 @@
 
 
 class Freshness(enum.StrEnum):
-    """Name what a read has to see."""
+    """Name which writes a read has to see."""
 
-    # All that was acknowledged before it.
+    # All writes acknowledged before it.
     PRIMARY = 'primary'
-    # All that was acknowledged a stated time before it.
+    # All writes acknowledged more than a given time before it.
     BOUNDED = 'bounded'
-    # As BOUNDED, and all that its own session wrote.
+    # As BOUNDED, and all writes of its own session.
     SESSION = 'session'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """State what one database's traffic accepts; operators set it."""
+    """Hold the traffic policy of one database, as set by operators."""
 
     database: str
     service: str
@@ -58,19 +58,19 @@
     max_staleness_ms: int = 0
     timeout_ms: int = 1000
     latency_goal_ms: int = 250
-    # 0 is served first.
+    # 0 is the highest priority.
     priority: int = 1
     version: int = 0
-    # An open transaction may be ended that waits longer for its caller.
+    # An open transaction that is idle for longer may be rolled back.
     transaction_idle_ms: int = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one statement that needs an upstream.
+    """Hold one statement that has to run on an upstream.
 
-    `transaction` is 0 for a single statement. `begins` marks the first
-    statement of a transaction: the upstream is chosen by it.
+    `transaction` is 0 outside a transaction. `begins` marks the first
+    statement of a transaction, which decides the upstream that runs it.
     """
 
     key: int
@@ -81,22 +81,23 @@
     transaction: int = 0
     begins: bool = False
     read_only: bool = False
-    # The session's own last commit.
+    # Log position of the session's last commit.
     session_place: places.Place = places.ORIGIN
     values: collections.abc.Mapping[str, str] = dataclasses.field(
         default_factory=dict
     )
-    # The shape that an EXECUTE needs prepared, under its shared name.
+    # The statement shape that an EXECUTE needs to be prepared, under its
+    # shared name.
     prepared: statements.Prepare | None = None
 
     @property
     def continues_transaction(self) -> bool:
-        """Say whether an upstream has its transaction open already."""
+        """Return whether its transaction is already open on an upstream."""
         return self.transaction != 0 and not self.begins
 
     @property
     def needs_primary(self) -> bool:
-        """Say whether only the primary can serve it."""
+        """Return whether only the primary can serve it."""
         if self.writes:
             return True
         if self.begins and not self.read_only:
@@ -106,19 +107,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedUpstream:
-    """Hold one upstream as the platform lists it."""
+    """Hold one upstream as listed by the platform."""
 
     name: str
     address: str
     data_centre: str
     role: statements.Role
-    # Orders two claims to be the primary that name no term.
+    # Orders two claims to be the primary when no term is known for them.
     revision: int
     leaving: bool = False
-    # At most so long ago it reported that it leaves.
+    # Upper bound on the time since it reported that it leaves.
     leaving_for_ms: int = 0
-    # When its process began. One that begins again under its name is another:
-    # it holds nothing.
+    # When its process started. A process recreated under the same name is a
+    # different upstream: its log is empty.
     born_ms: int = 0
 
 
@@ -127,21 +128,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submit:
-    """Take in a request; exactly one Answer follows."""
+    """Submit a request; exactly one Answer follows."""
 
     request: Request
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Report that a transaction's session is gone, or gave it up."""
+    """Report that the session of a transaction ended or abandoned it."""
 
     transaction: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Opened:
-    """Report a connection that is ready for its first command."""
+    """Report that a connection is ready for its first command."""
 
     connection: int
     place: places.Place | None
@@ -157,9 +158,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Closed:
-    """Report a connection's end; `code` says why it was never ready.
+    """Report that a connection ended.
 
-    `replies` came before the end.
+    `code` is the refusal if it was never ready. `replies` were received
+    before the end.
     """
 
     connection: int
@@ -170,16 +172,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamsSeen:
-    """Report the whole list of the group's upstreams."""
+    """Report the complete list of the upstreams of the group."""
 
     upstreams: tuple[ListedUpstream, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstancesSeen:
-    """Report how many owners share the upstreams' connections.
+    """Report how many owners share the connections to the upstreams.
 
-    `rank` is this proxy's place among them, from 0; None if it is no owner.
+    `rank` is the index of this proxy among them, from 0; None if it is not
+    an owner.
     """
 
     count: int
@@ -189,9 +192,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromotionLeaseSeen:
-    """Report whether this proxy is the one that may promote.
+    """Report whether this proxy holds the promotion lease.
 
-    `token` is the lowest of the tokens that are its alone to use.
+    `token` is the lowest of the tokens that are reserved for it.
     """
 
     holds: bool
@@ -199,27 +202,27 @@
 
 
 class OrderResult(enum.StrEnum):
-    """Say what the platform answered to an order."""
+    """Name the answer of the platform to a promotion order."""
 
     ACCEPTED = 'accepted'
-    # A higher token was seen, or the upstream is not running.
+    # The platform has seen a higher token, or the upstream is not running.
     REFUSED = 'refused'
-    # No answer: it may still be carried out, seconds later.
+    # No answer: the order may still be carried out seconds later.
     UNANSWERED = 'unanswered'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamListRead:
-    """Report that the list was read anew, and its news were told before."""
+    """Report that the list was read again and its changes were posted."""
 
     token: int
-    # False if neither the platform's service nor a peer answered.
+    # False if neither the service of the platform nor a peer answered.
     complete: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromotionOrdered:
-    """Report what became of an order to promote."""
+    """Report the result of an order to promote an upstream."""
 
     upstream: str
     token: int
@@ -228,14 +231,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Let time pass; `paused_ms` is how long this process stood still."""
+    """Report a timer tick.
+
+    `paused_ms` is how long this process was paused before it.
+    """
 
     paused_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shutdown:
-    """Answer all that is in hand and close every connection."""
+    """Answer all requests in progress and close every connection."""
 
 
 # ---- out of the core ------------------------------------------------------
@@ -243,7 +249,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Open:
-    """Open a connection to an upstream that has to be the one named."""
+    """Open a connection and check that it reaches the named upstream."""
 
     connection: int
     upstream: str
@@ -252,7 +258,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send commands in one piece; Replied or Closed follows."""
+    """Send commands as one batch; Replied or Closed follows."""
 
     connection: int
     commands: tuple[statements.Command, ...]
@@ -260,14 +266,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Close:
-    """Close a connection; nothing more is heard of it."""
+    """Close a connection; no further message about it follows."""
 
     connection: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Give the session the one final answer to a request."""
+    """Return the single final answer to a request to its session."""
 
     key: int
     outcome: outcomes.Outcome
@@ -275,7 +281,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderPromotion:
-    """Have the platform promote an upstream."""
+    """Order the platform to promote an upstream."""
 
     upstream: str
     token: int
@@ -283,24 +289,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadUpstreamList:
-    """Read anew which upstreams are listed; `ListRead` follows the news."""
+    """Read the list of upstreams again.
+
+    Changes are posted first, then `UpstreamListRead`.
+    """
 
     token: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class YieldPromotionLease:
-    """Let another proxy have the duty: this one cannot reach the group."""
+    """Yield the promotion lease, because the group is unreachable."""
 
     why: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogDecision:
-    """Tell the log what was decided, on what grounds.
+    """Log a decision and its inputs.
 
-    `inputs` are plain values: names, places, ages in milliseconds. They
-    never hold a caller's data.
+    `inputs` are plain values: names, log positions, ages in milliseconds.
+    They never contain data of callers.
     """
 
     what: str
--- a/topazring/core/synchronous/position_records.py
+++ b/topazring/core/synchronous/position_records.py
@@ -1,4 +1,4 @@
-"""Say what is known of places in a group's log."""
+"""Hold log positions recorded for a group."""
 
 import dataclasses
 
@@ -9,7 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrimaryStart:
-    """Bind a primary to a place: all that it began with is at or before it."""
+    """Bound the log that a primary started with by a position.
+
+    All entries that it started with are at or before `place`.
+    """
 
     upstream: str = ''
     place: places.Place = places.ORIGIN
@@ -17,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Hold what a primary's answer to a write says."""
+    """Hold the confirmation of a write by a primary."""
 
     upstream: str
     # When the write was sent to it.
     sent_ms: int
-    # When its answer came.
+    # When its answer was received.
     confirmed_ms: int
-    # Where its log was known to stand then.
+    # The last known log position of the primary when the write was sent.
     place_before: places.Place
-    # Where it stood with the write; None if that was not told.
+    # Its log position with the write; None if it was not reported.
     place: places.Place | None
--- a/topazring/core/synchronous/restart.py
+++ b/topazring/core/synchronous/restart.py
@@ -1,9 +1,9 @@
-"""Begin a group anew whose state broke an invariant.
+"""Recreate a group whose state violated an invariant.
 
-One request's bad state must not end a process that serves other groups and
-holds their callers' sessions. The group's connections are closed, which rolls
-back what was open on them, its requests are answered, and it learns its
-upstreams again as a process that has just started does.
+The bad state of one request must not end a process that serves other groups
+and holds the sessions of their callers. The connections of the group are
+closed, which rolls back their open transactions, its requests are answered,
+and its upstreams are discovered again as after a start of the process.
 """
 
 from topazring.core import outcomes
@@ -12,18 +12,18 @@
 
 __all__ = ['outcome_after_restart', 'recreate_state']
 
-# Connections are dialled within some ten ms and the primary proved after two
-# ticks; what comes back sooner finds nothing to serve it.
+# Connections are dialled within about 10 ms and the leadership of the primary
+# is proved after two ticks; an earlier retry finds no upstream to serve it.
 RETRY_MS = 200
 
 
 def outcome_after_restart(
     state: states.GroupState, key: int
 ) -> outcomes.Outcome:
-    """Say what is kept of a request once all connections are closed.
+    """Return the outcome of a request once all connections are closed.
 
-    Whether one ran that the broken state holds no more is not known: its
-    answer may have been on its way out.
+    For a request that the broken state no longer holds it is unknown whether
+    it ran: its answer may have been about to be sent.
     """
     reason = outcomes.Reason.GROUP_RESTARTED
     work = state.work.get(key)
@@ -34,12 +34,13 @@
 
 
 def recreate_state(state: states.GroupState) -> states.GroupState:
-    """Return the state to begin anew with.
+    """Return the state to restart a group with.
 
-    Numbers of connections go on, so that what an old one still tells is
-    nobody's. Tokens go on: an order may be on its way, and whatever is
-    ordered from now on has to outdo it. What is known to be acknowledged, and
-    who departed with it, keeps a promotion from losing a write.
+    Connection numbers continue, so that late messages of an old connection
+    match none of the new ones. Tokens continue: an earlier promotion order may
+    still be in flight, and later ones need a higher token. The acknowledged
+    log position and the departed members are kept so that a promotion does
+    not lose a write.
     """
     renewed = states.make_group(state.service, state.data_centre, state.limits)
     renewed.next_connection = state.next_connection
--- a/topazring/core/synchronous/sessions.py
+++ b/topazring/core/synchronous/sessions.py
@@ -1,8 +1,8 @@
-"""Keep what a caller's session set, prepared and began.
+"""Track the state of caller sessions: values, prepared names, transactions.
 
-BEGIN, SET, PREPARE, DEALLOCATE and ROLLBACK are answered here. A transaction
-takes a connection only with its first statement, so that callers who pause
-after BEGIN hold nothing that others need.
+BEGIN, SET, PREPARE, DEALLOCATE and ROLLBACK are answered locally. A
+transaction takes a connection only with its first statement, so that callers
+that pause after BEGIN do not hold a connection that others need.
 """
 
 import dataclasses
@@ -30,18 +30,18 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenTransaction:
-    """Hold the transaction that a session is in."""
+    """Hold the open transaction of a session."""
 
     key: int
     policy: messages.Policy
     read_only: bool
-    # An upstream has a transaction open for it.
+    # Whether it is open on an upstream.
     begun: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """Hold one caller's session."""
+    """Hold the session of one caller."""
 
     number: int
     database: str
@@ -51,15 +51,16 @@
         default_factory=dict
     )
     transaction: OpenTransaction | None = None
-    # Its own last commit.
+    # Log position of its last commit.
     place: places.Place = places.ORIGIN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocalAnswer:
-    """Answer a statement without an upstream.
+    """Hold the answer to a statement that needs no upstream.
 
-    `ends` is the transaction that is to be undone, 0 if none.
+    `ends` is the key of the transaction to be rolled back on its upstream, 0
+    if none.
     """
 
     outcome: outcomes.Outcome
@@ -73,12 +74,12 @@
     statement: statements.Statement,
     policy: messages.Policy | None,
 ) -> LocalAnswer | messages.Request:
-    """Answer a statement here, or return the request for an upstream.
+    """Return a local answer to a statement or the request for an upstream.
 
-    `key` becomes the request's, and the transaction's that it begins.
+    `key` identifies the request, and the transaction if it begins one.
     """
     if session.state is SessionState.FAILED:
-        return _in_failed(session, statement)
+        return _handle_in_failed_transaction(session, statement)
     match statement.verb:
         case Verb.BEGIN:
             return _begin(session, key, statement, policy)
@@ -92,11 +93,11 @@
         case Verb.DEALLOCATE:
             return _deallocate(session, statement)
         case _:
-            return _request(session, now_ms, key, statement, policy)
+            return _make_request(session, now_ms, key, statement, policy)
 
 
 def _reject(session: Session, reason: Reason, detail: str) -> LocalAnswer:
-    """Refuse a statement that is wrong; a transaction fails by it."""
+    """Reject an invalid statement and fail the open transaction."""
     ends = 0
     if session.transaction is not None:
         ends = session.transaction.key if session.transaction.begun else 0
@@ -105,7 +106,7 @@
     return LocalAnswer(outcomes.Rejected(reason, detail), ends)
 
 
-def _in_failed(
+def _handle_in_failed_transaction(
     session: Session, statement: statements.Statement
 ) -> LocalAnswer:
     match statement.verb:
@@ -131,13 +132,13 @@
         detail = 'a transaction is open already'
         return _reject(session, Reason.BAD_STATEMENT, detail)
     if policy is None:
-        return LocalAnswer(_unknown(session))
+        return LocalAnswer(_unknown_database(session))
     session.transaction = OpenTransaction(key, policy, statement.read_only)
     session.state = SessionState.IN_TRANSACTION
     return LocalAnswer(_DONE)
 
 
-def _unknown(session: Session) -> outcomes.Rejected:
+def _unknown_database(session: Session) -> outcomes.Rejected:
     return outcomes.Rejected(Reason.UNKNOWN_DATABASE, session.database)
 
 
@@ -152,10 +153,10 @@
 
 
 def _prepare(session: Session, statement: statements.Statement) -> LocalAnswer:
-    """Prepare under a name that all sessions share.
+    """Prepare under a name that is shared by all sessions.
 
-    Callers' names collide. One name for each access and shape lets most
-    sessions use any connection as it is.
+    Names chosen by callers collide. One name per access and shape lets most
+    sessions use any connection without preparing again.
     """
     shared = f'{statement.access[0]}{statement.value}'
     session.prepared[statement.name] = statements.Prepare(
@@ -172,7 +173,7 @@
     return LocalAnswer(_DONE)
 
 
-def _request(
+def _make_request(
     session: Session,
     now_ms: int,
     key: int,
@@ -186,7 +187,7 @@
         detail = 'no transaction is open'
         return _reject(session, Reason.NO_TRANSACTION, detail)
     if policy is None:
-        return LocalAnswer(_unknown(session))
+        return LocalAnswer(_unknown_database(session))
     prepared = None
     writes = statement.verb is Verb.WRITE
     if statement.verb is Verb.EXECUTE:
@@ -215,7 +216,7 @@
 def record_outcome(
     session: Session, request: messages.Request, outcome: outcomes.Outcome
 ) -> None:
-    """Take in the final answer to a request."""
+    """Update a session with the final answer to a request."""
     done = isinstance(outcome, outcomes.Done)
     if done and outcome.place is not None:
         session.place = max(session.place, outcome.place)
@@ -232,7 +233,10 @@
 
 
 def fail_transaction(session: Session) -> int:
-    """Fail the open transaction; return the key to be undone, 0 if none."""
+    """Fail the open transaction.
+
+    Return its key if it has to be rolled back on an upstream, else 0.
+    """
     transaction = session.transaction
     if transaction is None:
         return 0
--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -1,4 +1,4 @@
-"""Hold all that a proxy knows and does for one group of upstreams."""
+"""Hold the state that one proxy keeps for one group of upstreams."""
 
 import collections
 import dataclasses
@@ -33,28 +33,29 @@
 ]
 
 
-# Before any time that a clock of ours shows.
+# Earlier than any timestamp the process can produce.
 NEVER_MS = -(10**9)
-# A statement takes some 10 to 20 ms.
+# Initial estimate of the service time; a statement takes 10 to 20 ms.
 TYPICAL_SERVICE_MS = 15.0
-# No bound yet on the connections at work; shares are far smaller.
+# Effectively unlimited: connection shares are far smaller.
 MAX_CONCURRENCY = 1000.0
-# Unproved places that are kept: a doubt lasts 300 ms, with a guard each 50.
+# Most samples that wait for a leadership proof: leadership stays unproven for
+# up to 300 ms, with a leadership check every 50 ms.
 MAX_PENDING_SAMPLES = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Hold what operators bound for this process."""
+    """Hold the limits that operators set for this process."""
 
-    # Requests that may wait for one group; beyond it the last is refused.
+    # Most requests queued for one group; further requests are refused.
     queue: int = 400
-    # How long a leaving upstream may still be given work.
+    # How long a leaving upstream still receives new work.
     drain_ms: int = 7000
 
 
 class Phase(enum.StrEnum):
-    """Name what a connection is doing."""
+    """Name the phase of a connection."""
 
     OPENING = 'opening'
     IDLE = 'idle'
@@ -62,17 +63,19 @@
 
 
 class Purpose(enum.StrEnum):
-    """Name what the commands under way on a connection are for."""
+    """Name the purpose of the commands in flight on a connection."""
 
     NONE = 'none'
-    # The transaction's BEGIN; the statement follows once it succeeded.
+    # The BEGIN of a transaction; the first statement is sent once it
+    # succeeds.
     BEGIN_TRANSACTION = 'beginning'
     STATEMENT = 'statement'
-    # BEGIN and ROLLBACK alone: does it lead, and where does its log stand?
+    # BEGIN and ROLLBACK only: shows whether the upstream leads, and its log
+    # position.
     LEADERSHIP_CHECK = 'guard'
-    # Its own word on its part and term.
+    # Asks the upstream for its role and term.
     STATUS_QUERY = 'look'
-    # The end of a transaction that its session gave up.
+    # ROLLBACK of a transaction that its session abandoned.
     ABORT = 'undoing'
     # A step of a promotion.
     CONTROL = 'control'
@@ -80,22 +83,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Connection:
-    """Hold one connection to an upstream and the state it has there."""
+    """Hold one connection to an upstream and its state on that upstream."""
 
     number: int
     upstream: str
     phase: Phase = Phase.OPENING
     purpose: Purpose = Purpose.NONE
     commands: tuple[statements.Command, ...] = ()
-    # When the dial or the commands under way went out.
+    # When the dial or the commands in flight were sent.
     sent_ms: int = 0
     idle_since_ms: int = 0
     work: int = 0
-    # When a request from the line took it; None while none has.
+    # When a queued request checked it out; None while it is free.
     checked_out_ms: int | None = None
-    # The statement under way writes.
+    # Whether the statement in flight writes.
     is_writing: bool = False
-    # Where the upstream's log was known to stand when they went out.
+    # Last known log position of the upstream when the commands were sent.
     place_before: places.Place = places.ORIGIN
     transaction: int = 0
     values: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -104,137 +107,143 @@
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """Hold what is known of one upstream."""
+    """Hold what this proxy has recorded about one upstream."""
 
     name: str
     address: str
     data_centre: str
     listed_role: statements.Role
     listed_revision: int
-    # When its process began.
+    # When its process started.
     born_ms: int = 0
-    # No new work from then on; None while it stays.
+    # New work is refused from this time on; None unless it is leaving.
     closed_to_work_ms: int | None = None
     leaving: bool = False
-    # Where its log stood when it last said so.
+    # Last reported log position, and when it was reported.
     place: places.Place = places.ORIGIN
     place_ms: int = 0
-    # It said that it lacked this place, then.
+    # It last reported that its log had not reached this position, and when.
     missing_place: places.Place = places.ORIGIN
     lagging_ms: int = NEVER_MS
-    # How long it is left alone then.
+    # How long after that it is sent no reads that need this position.
     lagging_pause_ms: int = 0
-    # It refused as one that does not lead, then.
+    # When it last refused a command because it does not lead.
     refuted_ms: int | None = None
-    # Under which term it says that it leads; 0 if it does not or that is
-    # unknown.
+    # The term under which it reports to lead; 0 if it does not lead or the
+    # term is unknown.
     lead_term: int = 0
-    # When the last question went out that it answered by taking a BEGIN, by
-    # refusing one, as a replica of no newer term than the primary's, as a
-    # primary whose write a replica had confirmed.
+    # Send times of the latest queries, by the kind of answer they got: BEGIN
+    # accepted, BEGIN refused, reported as a replica of a term no newer than
+    # the primary's, reported as a replica of the term that the primary has
+    # written in, write confirmed by a replica (as the primary).
     begin_accepted_sent_ms: int = NEVER_MS
     begin_refused_sent_ms: int = NEVER_MS
     witness_sent_ms: int = NEVER_MS
-    # As a replica of the very term that the primary has written in.
     same_term_sent_ms: int = NEVER_MS
     confirmed_sent_ms: int = NEVER_MS
-    # When it was first listed here. It vouches for a lead only after that
-    # was proved otherwise: whoever promotes may not have known it.
+    # When it was first listed here. A new member counts as a witness of
+    # leadership only once leadership has been proved without it after that:
+    # the proxy that runs a promotion may not have had it on its list.
     first_listed_ms: int = 0
     is_established: bool = False
-    # It had been listed under its name before, as another.
+    # A different instance was listed under this name before.
     is_recreated: bool = False
-    # When it was last asked whether it leads, and for its term.
+    # When it was last sent a leadership check, and a query for its term.
     asked_ms: int = NEVER_MS
     witness_asked_ms: int = NEVER_MS
     # When the list last named it as the primary; NEVER_MS once refuted.
     claimed_ms: int = NEVER_MS
-    # Its claim to lead waits for its term; when it was last asked for it.
+    # Its claim to lead cannot be ranked before its term is known, and when
+    # the term was last queried for this.
     has_pending_claim: bool = False
     claim_checked_ms: int = NEVER_MS
-    # It was replaced and does not know; when it was last told.
+    # It was replaced and still acts as the primary; when a demotion was last
+    # sent.
     needs_demotion: bool = False
     demotion_sent_ms: int = NEVER_MS
     last_received_ms: int = 0
-    # When it last had a write confirmed by a replica.
+    # When a replica last confirmed one of its writes.
     confirmed_ms: int = 0
-    # Where its log ends at least, by the newest question that it answered.
+    # Lower bound on the end of its log, from the latest answered query.
     log_end: places.Place = places.ORIGIN
     log_end_sent_ms: int = NEVER_MS
-    # Its last own word: for which term is it paused, 0 if it is not, and when
-    # was it asked?
+    # From its last status reply: the term it is paused for (0 if it is not
+    # paused), and when that query was sent; then when the latest was sent.
     held_term: int = 0
     answered_status_sent_ms: int = NEVER_MS
     status_asked_ms: int = NEVER_MS
-    # The first dial, command or refusal since it was last heard.
+    # The first dial, command or refusal since it last replied.
     unresponsive_since_ms: int | None = None
-    # Dials that were refused or went unanswered since it was last heard.
+    # Dials refused or unanswered since its last reply.
     failed_dials: int = 0
     dial_after_ms: int = 0
     is_unreachable: bool = False
-    # It refused the last dial for it had too many connections.
+    # It refused the last dial because it had too many connections.
     is_full: bool = False
     busy_until_ms: int = 0
-    # How long a statement takes there, and when that was last seen.
+    # Measured service time of a statement, and when it was last updated.
     service_ms: float = TYPICAL_SERVICE_MS
     service_updated_ms: int = 0
-    # How long a request from the line keeps a connection to it; a
-    # transaction with all its pauses.
+    # How long a queued request holds a connection to it; for a transaction
+    # this includes the time between its statements.
     hold_ms: float = TYPICAL_SERVICE_MS
-    # How long a statement takes there when it need not queue, and how many
-    # connections are to be at work at a time.
+    # Service time of a statement that does not queue in the upstream, and
+    # how many connections may be busy at a time.
     unqueued_service_ms: float = TYPICAL_SERVICE_MS
     concurrency_limit: float = MAX_CONCURRENCY
 
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """Hold one request on its way."""
+    """Hold one request in progress."""
 
     request: messages.Request
     deadline_ms: int
-    # The connections that run it now; two while a read is hedged.
+    # Connections that run it now; two while a read is hedged.
     running: set[int] = dataclasses.field(default_factory=set)
     is_queued: bool = False
-    # The first time it went out; None while it only waited.
+    # When it was first sent; None while it has only been queued.
     first_sent_ms: int | None = None
     not_before_ms: int = 0
-    # Upstreams that could not serve it; tried again when none is left.
+    # Upstreams that could not serve it; they are retried once no other is
+    # left.
     passed_over: set[str] = dataclasses.field(default_factory=set)
     primary_only: bool = False
     hedges: int = 0
-    # Something about it was out of the ordinary: the log tells its rest too.
+    # Its remaining events are logged, because something unusual happened to
+    # it or it was sampled.
     is_traced: bool = False
-    # The answer that waits for the proof that its upstream led.
+    # The answer that waits for a proof of leadership of its upstream, and the
+    # time for which leadership must be proved.
     unproven_answer: outcomes.Done | None = None
     proof_needed_ms: int = NEVER_MS
-    # The same of a write, which waits until it is sure to last.
+    # The confirmation of a write whose answer waits until it is durable.
     confirmation: position_records.Confirmation | None = None
     last_reason: outcomes.Reason = outcomes.Reason.NO_PRIMARY
 
     @property
     def is_moved_to_primary(self) -> bool:
-        """Say whether it may be read anywhere, but nobody else would do."""
+        """Return whether a replica read was moved to the primary."""
         return self.primary_only and not self.request.needs_primary
 
 
 @dataclasses.dataclass(slots=True)
 class Transaction:
-    """Hold the connection of an open transaction."""
+    """Hold the connection and the limits of an open transaction."""
 
     connection: int
     read_only: bool
-    # It is undone when its caller leaves it idle for longer.
+    # It is rolled back once its caller leaves it idle for longer.
     idle_limit_ms: int
-    # The moment for which the lead has to be proved before a read of it is
-    # answered; None if a place bounds its age.
+    # The time for which leadership must be proved before one of its reads is
+    # answered; None if a log position bounds the age of its data.
     proof_needed_ms: int | None = None
     wrote: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class GroupState:
-    """Hold one group's state in one proxy."""
+    """Hold the state of one group in one proxy."""
 
     service: str
     data_centre: str
@@ -243,24 +252,25 @@
     connections: dict[int, Connection] = dataclasses.field(
         default_factory=dict
     )
-    # The same by upstream: each decision looks at those of one, and to pick
-    # them out of all took an eighth of a busy group's processor time.
+    # The same connections by upstream. Most decisions need those of a single
+    # upstream; filtering all connections took an eighth of the processor
+    # time of a busy group.
     connections_by_upstream: dict[str, dict[int, Connection]] = (
         dataclasses.field(default_factory=dict)
     )
     next_connection: int = 1
     began_ms: int | None = None
-    # When the group was first listed; 0 before.
+    # When the group was first listed; 0 until then.
     listed_ms: int = 0
-    # Connections this proxy may hold to one upstream.
+    # Most connections that this proxy may hold to one upstream.
     connection_share: int = 2
-    # And how many of these while the connections of before may linger there.
+    # The limit while connections of an earlier share may still be open there.
     starting_share: int = 1
-    # A larger share that may be used soon, and since when; 0 if none.
+    # A larger share that will apply soon (0 if none), and when it was set.
     larger_share: int = 0
     larger_share_ms: int = 0
     work: dict[int, Work] = dataclasses.field(default_factory=dict)
-    # By priority: what only the primary can serve, and what any may.
+    # Queues by priority: requests that need the primary, and the others.
     primary_queues: dict[int, admission.FairQueue] = dataclasses.field(
         default_factory=dict
     )
@@ -270,78 +280,83 @@
     transactions: dict[int, Transaction] = dataclasses.field(
         default_factory=dict
     )
-    # Believed to lead; empty while unknown.
+    # The assumed primary; empty while unknown.
     primary: str = ''
-    # Since when.
+    # When it was first assumed to lead.
     primary_since_ms: int = NEVER_MS
-    # Another was to follow the last primary, and is listed no more.
+    # The chosen successor of the last primary is no longer listed.
     successor_gone: bool = False
-    # The newest term that is over, for a successor was named since.
+    # The newest term known to have ended, because a successor was chosen, and
+    # when this was recorded.
     ended_term: int = 0
-    # Since when that is known.
     term_ended_ms: int = NEVER_MS
-    # The last that was believed to lead.
+    # The last assumed primary.
     last_primary: str = ''
     last_primary_born_ms: int = 0
     # The newest term seen on any connection.
     term: int = 0
     primary_lost_ms: int | None = None
-    # The primary that this proxy is cut off with; empty if it is not.
+    # The primary that this proxy shares a partition with while it is isolated;
+    # empty if it is not isolated.
     isolated_with: str = ''
     isolated_since_ms: int = 0
-    # How long a group is usually without a primary: the time to notice, and
-    # the promotion's own.
+    # How long a group is typically without a primary: the detection time
+    # plus the duration of the promotion.
     typical_outage_ms: float = 1000.0
-    # Acknowledged writes are known to reach this place at least; nobody
-    # whose log ends before it may be promoted.
+    # Lower bound on the log position of all acknowledged writes. An upstream
+    # whose log ends before it must not be promoted.
     acknowledged: places.Place = places.ORIGIN
-    # Upstreams that may hold what nobody else holds.
+    # Departed members that may be the only ones to hold some writes.
     departed_members: departing.DepartedMembers = dataclasses.field(
         default_factory=departing.DepartedMembers
     )
-    # The last upstream that proved to lead, and when it first did.
+    # The last upstream whose leadership was proved, and when that was first
+    # the case.
     proven_primary: str = ''
     proven_ms: int = 0
-    # What the last primary of which that is known began with.
+    # The initial log position of the last primary for which it is known.
     primary_start: position_records.PrimaryStart = (
         position_records.PrimaryStart()
     )
-    # Oldest first.
+    # Log position samples, oldest first.
     samples: collections.deque[places.Sample] = dataclasses.field(
         default_factory=collections.deque
     )
-    # Keys of the requests whose answers wait for a proof.
+    # Keys of requests whose answers wait for a leadership proof or for
+    # replication.
     awaiting_proof: set[int] = dataclasses.field(default_factory=set)
-    # When a confirmed write was last given up, for nobody vouched for it.
+    # When a confirmed write was last given up because no established member
+    # could prove leadership.
     unproven_write_ms: int = NEVER_MS
-    # Places that the primary reported and that are samples once its lead is
-    # proved for their time; oldest first.
+    # Positions reported by the primary that become samples once leadership
+    # is proved for their time; oldest first.
     pending_samples: collections.deque[places.Sample] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_PENDING_SAMPLES)
     )
-    # The newest moment for which the lead is to be proved, and the oldest
-    # for which it is not; None if there is none.
+    # The latest time for which a leadership proof is needed, and the earliest
+    # one that is still unproven; None if there is none.
     newest_needed_ms: int = NEVER_MS
     oldest_unproven_ms: int | None = None
     budget: retries.Budget = dataclasses.field(default_factory=retries.Budget)
-    # When this process last went on after it stood still.
+    # When this process last resumed after a pause.
     resumed_ms: int = 0
-    # The last tick; 0 before the first.
+    # The last tick; 0 before the first one.
     last_tick_ms: int = 0
-    # When it was last told how the line stands.
+    # When the state of the queue was last logged.
     queue_reported_ms: int = NEVER_MS
     leadership_checked_ms: int = 0
     replicas_checked_ms: int = 0
     holds_promotion_lease: bool = False
     token: int = 0
-    # Orders of earlier holders may still arrive until a higher token is seen.
+    # Orders of earlier lease holders may still take effect until the platform
+    # has seen a higher token.
     needs_fencing: bool = False
     fence_token: int = 0
     promotion: object | None = None
     next_promotion_ms: int = 0
-    # When it was last found out whether replicas receive.
+    # When it was last checked whether the replicas still receive the log.
     replication_checked_ms: int = -10_000
-    # Resumed again once their group has a primary.
+    # Replicas paused by a promotion; resumed once the group has a primary.
     paused: set[str] = dataclasses.field(default_factory=set)
     counters: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -349,17 +364,17 @@
 
 
 def make_group(service: str, data_centre: str, limits: Limits) -> GroupState:
-    """Return the state of a group of which nothing is known yet."""
+    """Return the initial state of a group."""
     return GroupState(service, data_centre, limits)
 
 
 def connections_to(state: GroupState, upstream: str) -> list[Connection]:
-    """Return the connections to an upstream, whatever they do."""
+    """Return all connections to an upstream, in any phase."""
     return list(state.connections_by_upstream.get(upstream, {}).values())
 
 
 def idle_connections(state: GroupState, upstream: str) -> list[Connection]:
-    """Return the connections to an upstream that could take work."""
+    """Return the connections to an upstream that can take a request."""
     return [
         connection
         for connection in connections_to(state, upstream)
@@ -368,7 +383,7 @@
 
 
 def other_members(state: GroupState) -> list[Upstream]:
-    """Return all members but the one that is believed to lead."""
+    """Return all members except the assumed primary."""
     return [
         upstream
         for upstream in state.upstreams.values()
@@ -377,11 +392,11 @@
 
 
 def is_closed_to_work(upstream: Upstream, now_ms: int) -> bool:
-    """Say whether an upstream that leaves gets nothing new any more."""
+    """Return whether a leaving upstream no longer receives new work."""
     closes_ms = upstream.closed_to_work_ms
     return closes_ms is not None and now_ms >= closes_ms
 
 
 def is_recently_lagging(upstream: Upstream, now_ms: int) -> bool:
-    """Say whether a replica is left alone that lacked a place."""
+    """Return whether a replica that lacked a position is still avoided."""
     return now_ms - upstream.lagging_ms < upstream.lagging_pause_ms
--- a/topazring/core/synchronous/statements.py
+++ b/topazring/core/synchronous/statements.py
@@ -1,4 +1,4 @@
-"""Describe statements, what is sent to upstreams, and their replies."""
+"""Define statements, the commands sent to upstreams and their replies."""
 
 import dataclasses
 import enum
@@ -31,7 +31,7 @@
 
 
 class Verb(enum.StrEnum):
-    """Name what a caller's statement does."""
+    """Name the kind of a statement."""
 
     BEGIN = 'begin'
     COMMIT = 'commit'
@@ -45,52 +45,52 @@
 
     @property
     def ends_transaction(self) -> bool:
-        """Say whether no transaction is open after it."""
+        """Return whether it ends the open transaction."""
         return self in (Verb.COMMIT, Verb.ROLLBACK)
 
 
 class Access(enum.StrEnum):
-    """Say whether a prepared statement reads or writes."""
+    """Name whether a prepared statement reads or writes."""
 
     READ = 'read'
     WRITE = 'write'
 
 
 class Role(enum.StrEnum):
-    """Name the part an upstream plays in its group."""
+    """Name the role of an upstream in its group."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
 
 
 class SessionState(enum.StrEnum):
-    """Name where a session stands between two statements."""
+    """Name the transaction state of a session between two statements."""
 
     IDLE = 'idle'
     IN_TRANSACTION = 'in_transaction'
-    # The transaction failed; all that is left is to end it.
+    # The transaction failed and can only be ended.
     FAILED = 'failed'
 
 
 class Code(enum.StrEnum):
-    """Name what an upstream answers instead of a result."""
+    """Name the error codes of an upstream."""
 
-    # Not run: the queue was full, or a slot could not be had.
+    # Not run: the queue was full or no slot was free.
     BUSY = 'busy'
-    # Not run: its log lacks the place that was asked for.
+    # Not run: its log has not reached the requested position.
     LAGGING = 'lagging'
     # Not run: it does not lead.
     READ_ONLY = 'read_only'
-    # Not run: it is another upstream than the one expected.
+    # Not run: it is not the expected upstream.
     WRONG_UPSTREAM = 'wrong_upstream'
-    # Not run: all of its connections are taken.
+    # Not run: all of its connections are in use.
     CONNECTION_LIMIT = 'connection_limit'
-    # Not run: no prepared statement of that name.
+    # Not run: no statement is prepared under that name.
     NO_STATEMENT = 'no_statement'
     # It ran and failed.
     FAILED = 'failed'
     TIMEOUT = 'timeout'
-    # Anything else; nothing is known of what happened.
+    # Any other error; whether it ran is unknown.
     OTHER = 'other'
 
 
@@ -98,8 +98,9 @@
 class Statement:
     """Hold one statement of a caller.
 
-    `text` goes to the upstream as it came; the other fields are what the
-    verb says of it. `arguments` is what follows a prepared name.
+    `text` is sent to the upstream unchanged; the other fields are parsed
+    from it according to the verb. `arguments` follow the name of a prepared
+    statement.
     """
 
     request_id: str
@@ -117,7 +118,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Begin:
-    """Begin a transaction; one that only reads may name a place."""
+    """Begin a transaction.
+
+    A read-only one may require the log position `after`.
+    """
 
     read_only: bool = False
     after: places.Place | None = None
@@ -125,19 +129,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rollback:
-    """Undo the transaction."""
+    """Roll back the transaction."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Commit:
-    """Commit the caller's transaction under the caller's id."""
+    """Commit the transaction under the request id of the caller."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Run a caller's statement, at or past a place if one is named."""
+    """Run a statement, at or past the log position `after` if given."""
 
     request_id: str
     text: str
@@ -146,7 +150,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Execute:
-    """Run what was prepared under a name, with the caller's arguments."""
+    """Execute a prepared statement with the arguments of the caller."""
 
     request_id: str
     name: str
@@ -164,7 +168,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prepare:
-    """Prepare a shape under a name."""
+    """Prepare a statement shape under a name."""
 
     name: str
     access: Access
@@ -173,29 +177,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reset:
-    """Clear the connection's values and prepared names."""
+    """Clear the session values and prepared names of the connection."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """Ask what the upstream knows of itself."""
+    """Query the status of the upstream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Have a replica receive nothing more; `term` is above the newest."""
+    """Stop a replica from receiving; `term` is above the newest one."""
 
     term: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resume:
-    """Have a paused replica receive again."""
+    """Let a paused replica receive again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demote:
-    """Make a primary of a lower term a replica."""
+    """Demote a primary of a lower term to a replica."""
 
     term: int
 
@@ -221,22 +225,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold the whole answer to one command."""
+    """Hold the complete reply to one command."""
 
     rows: tuple[str, ...] = ()
-    # What the upstream signed its success with; None on an error.
+    # Signature of the upstream on a success; None on an error.
     signature: str | None = None
     code: Code | None = None
     detail: str = ''
     state: SessionState = SessionState.IDLE
-    # Where the upstream's log stood, if it said so.
+    # Log position of the upstream, if reported.
     place: places.Place | None = None
     report: 'StatusReport | None' = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusReport:
-    """Hold what an upstream says of itself."""
+    """Hold the status reported by an upstream."""
 
     role: Role
     term: int
--- a/topazring/core/synchronous/transactions.py
+++ b/topazring/core/synchronous/transactions.py
@@ -1,4 +1,4 @@
-"""Take in what upstreams answered to statements of transactions."""
+"""Handle the replies of upstreams to statements of transactions."""
 
 from topazring.core import outcomes
 from topazring.core.synchronous import completion
@@ -49,11 +49,11 @@
 ) -> list:
     transaction = state.transactions.get(connection.transaction)
     if work is None or transaction is None:
-        return _abandon(state, now_ms, connection)
+        return _roll_back_unclaimed(state, now_ms, connection)
     request = work.request
     work.running.discard(connection.number)
-    ends = request.statement.verb is statements.Verb.COMMIT
-    if reply.code is None and not ends:
+    is_commit = request.statement.verb is statements.Verb.COMMIT
+    if reply.code is None and not is_commit:
         return _statement_done(
             state, now_ms, connection, work, reply, transaction
         )
@@ -64,10 +64,10 @@
     )
 
 
-def _abandon(
+def _roll_back_unclaimed(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> list:
-    """Undo a transaction that nobody waits for any more."""
+    """Roll back a transaction whose request was given up."""
     state.counters['late_result'] += 1
     state.transactions.pop(connection.transaction, None)
     connections.mark_idle(connection, now_ms)
@@ -114,12 +114,13 @@
     reply: statements.Reply,
     transaction: states.Transaction,
 ) -> list:
-    """Answer a statement that its transaction does not survive.
+    """Answer a statement whose failure ends its transaction.
 
-    One that found no slot while the transaction stands is sent again.
+    If it only found no free slot and its transaction is still open, it is
+    sent again.
     """
-    stands = reply.state is SessionState.IN_TRANSACTION
-    if reply.code is Code.BUSY and stands:
+    is_open = reply.state is SessionState.IN_TRANSACTION
+    if reply.code is Code.BUSY and is_open:
         state.counters[f'retry_{Reason.SLOTS_BUSY}'] += 1
         connections.mark_idle(connection, now_ms)
         return dispatch.continue_transaction(state, now_ms, work)
