--- a/topazring/core/synchronous/departed_members.py
+++ b/topazring/core/synchronous/departed_members.py
@@ -14,7 +14,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['DepartedMember', 'DepartedMembers']
 
@@ -41,7 +41,7 @@
     # does not return.
     left: bool = False
     # Upper bound on its log position; None until it is known.
-    bound: places.Place | None = None
+    bound: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,7 +59,7 @@
         now_ms: int,
         name: str,
         left: bool = False,
-        paused_at: places.Place | None = None,
+        paused_at: log_positions.LogPosition | None = None,
         born_ms: int = 0,
     ) -> None:
         """Record that an upstream is no longer listed.
@@ -69,7 +69,9 @@
         member = DepartedMember(name, now_ms, left, paused_at)
         self.known[(name, born_ms)] = member
 
-    def record_first_place(self, now_ms: int, place: places.Place) -> None:
+    def record_first_place(
+        self, now_ms: int, place: log_positions.LogPosition
+    ) -> None:
         """Record the first log position that a primary reports.
 
         Members that departed before this process started may have confirmed
@@ -97,14 +99,19 @@
         """Return whether a member of this name was listed before."""
         return any(member.name == name for member in self.known.values())
 
-    def record_primary_place(self, sent_ms: int, place: places.Place) -> None:
+    def record_primary_place(
+        self, sent_ms: int, place: log_positions.LogPosition
+    ) -> None:
         """Set bounds from a position that the primary was queried for."""
         for member in self.known.values():
             if member.bound is None and member.departed_ms <= sent_ms:
                 member.bound = place
 
     def may_exceed(
-        self, now_ms: int, place: places.Place, primaries: frozenset[str]
+        self,
+        now_ms: int,
+        place: log_positions.LogPosition,
+        primaries: frozenset[str],
     ) -> list[str]:
         """Return the members whose logs may extend beyond a position.
 
--- a/topazring/core/synchronous/position_records.py
+++ b/topazring/core/synchronous/position_records.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Confirmation', 'PrimaryStart']
 
@@ -15,7 +15,7 @@
     """
 
     upstream: str = ''
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,6 +28,6 @@
     # When its answer was received.
     confirmed_ms: int
     # The last known log position of the primary when the write was sent.
-    place_before: places.Place
+    place_before: log_positions.LogPosition
     # Its log position with the write; None if it was not reported.
-    place: places.Place | None
+    place: log_positions.LogPosition | None
--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -5,8 +5,8 @@
 import enum
 
 from topazring.core import admission
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import retries
 from topazring.core.synchronous import departed_members as departing
 from topazring.core.synchronous import messages
@@ -99,7 +99,7 @@
     # Whether the statement in flight writes.
     is_writing: bool = False
     # Last known log position of the upstream when the commands were sent.
-    place_before: places.Place = places.ORIGIN
+    place_before: log_positions.LogPosition = log_positions.ORIGIN
     transaction: int = 0
     values: dict[str, str] = dataclasses.field(default_factory=dict)
     prepared: set[str] = dataclasses.field(default_factory=set)
@@ -120,10 +120,10 @@
     closed_to_work_ms: int | None = None
     leaving: bool = False
     # Last reported log position, and when it was reported.
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
     place_ms: int = 0
     # It last reported that its log had not reached this position, and when.
-    missing_place: places.Place = places.ORIGIN
+    missing_place: log_positions.LogPosition = log_positions.ORIGIN
     lagging_ms: int = NEVER_MS
     # How long after that it is sent no reads that need this position.
     lagging_pause_ms: int = 0
@@ -165,7 +165,7 @@
     # When a replica last confirmed one of its writes.
     confirmed_ms: int = 0
     # Lower bound on the end of its log, from the latest answered query.
-    log_end: places.Place = places.ORIGIN
+    log_end: log_positions.LogPosition = log_positions.ORIGIN
     log_end_sent_ms: int = NEVER_MS
     # From its last status reply: the term it is paused for (0 if it is not
     # paused), and when that query was sent; then when the latest was sent.
@@ -305,7 +305,7 @@
     typical_outage_ms: float = 1000.0
     # Lower bound on the log position of all acknowledged writes. An upstream
     # whose log ends before it must not be promoted.
-    acknowledged: places.Place = places.ORIGIN
+    acknowledged: log_positions.LogPosition = log_positions.ORIGIN
     # Departed members that may be the only ones to hold some writes.
     departed_members: departing.DepartedMembers = dataclasses.field(
         default_factory=departing.DepartedMembers
@@ -319,7 +319,7 @@
         position_records.PrimaryStart()
     )
     # Log position samples, oldest first.
-    samples: collections.deque[places.Sample] = dataclasses.field(
+    samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=collections.deque
     )
     # Keys of requests whose answers wait for a leadership proof or for
@@ -330,8 +330,12 @@
     unproven_write_ms: int = NEVER_MS
     # Positions reported by the primary that become samples once leadership
     # is proved for their time; oldest first.
-    pending_samples: collections.deque[places.Sample] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=MAX_PENDING_SAMPLES)
+    pending_samples: collections.deque[log_positions.Sample] = (
+        dataclasses.field(
+            default_factory=lambda: collections.deque(
+                maxlen=MAX_PENDING_SAMPLES
+            )
+        )
     )
     # The latest time for which a leadership proof is needed, and the earliest
     # one that is still unproven; None if there is none.
--- a/topazring/core/synchronous/statements.py
+++ b/topazring/core/synchronous/statements.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = [
     'Access',
@@ -124,7 +124,7 @@
     """
 
     read_only: bool = False
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -145,7 +145,7 @@
 
     request_id: str
     text: str
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -155,7 +155,7 @@
     request_id: str
     name: str
     arguments: str
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -234,7 +234,7 @@
     detail: str = ''
     state: SessionState = SessionState.IDLE
     # Log position of the upstream, if reported.
-    place: places.Place | None = None
+    place: log_positions.LogPosition | None = None
     report: 'StatusReport | None' = None
 
 
@@ -244,7 +244,7 @@
 
     role: Role
     term: int
-    received: places.Place
+    received: log_positions.LogPosition
     held_term: int
     lag_ms: int
     busy: int
