--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -3,12 +3,12 @@
 from topazring.core import outcomes
 from topazring.core import places
 from topazring.core import retries
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import fates
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import questions
 from topazring.core.synchronous import routing
@@ -150,7 +150,7 @@
         waiting.take(state, now_ms, work)
     if work.offered_ms is None:
         work.offered_ms = now_ms
-    pace.begin(connection, now_ms)
+    concurrency_limit.start_hold(connection, now_ms)
     _assign(state, work, connection)
     outs = _tell_sent(state, now_ms, work, connection, after)
     if after is None and proofs.needs_proof(request):
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -1,6 +1,7 @@
 """End what has run out of time; try slow reads elsewhere."""
 
 from topazring.core import outcomes
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
@@ -8,7 +9,6 @@
 from topazring.core.synchronous import fates
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import prospects
 from topazring.core.synchronous import results
@@ -177,7 +177,7 @@
         connection = state.connections.get(number)
         # A transaction's went with it.
         if connection is not None:
-            outs += connections.drop(state, connection)
+            outs += connections.close_connection(state, connection)
     return outs
 
 
@@ -194,7 +194,7 @@
             # The primary that it was sent to is replaced.
             continue
         took_ms = now_ms - connection.sent_ms
-        if took_ms <= pace.late_after_ms(upstream):
+        if took_ms <= concurrency_limit.late_after_ms(upstream):
             return False
     return True
 
