--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -181,7 +181,7 @@
     Then writes are confirmed, and what hangs is the answer: one was lost, or
     the replicas only apply late what they receive at once.
     """
-    before = freshness.place_at(state, now_ms - evidence.STANDING_MS)
+    before = freshness.position_at(state, now_ms - evidence.STANDING_MS)
     if before is None:
         return False
     return any(
