--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -1,7 +1,8 @@
-"""Hold an attempt to replace a primary, and choose who follows.
+"""Hold an attempt to replace a primary, and choose the new primary.
 
-Who is chosen depends on what the members report once they are paused, on
-what is known to be acknowledged, and on who could not be asked.
+The choice depends on the log positions that members report once they are
+paused, on the position known to be acknowledged, and on which upstreams
+could not be queried.
 """
 
 import dataclasses
@@ -27,71 +28,77 @@
     'record_report',
 ]
 
-# A replica that restarts is paused no more, and confirms again. So what it
-# reported counts for this long; it is asked again while others are awaited.
+# A replica that restarts loses its pause and confirms writes again. Its report
+# is therefore valid only this long, and it is queried again while the reports
+# of other members are outstanding.
 REPORT_MAX_AGE_MS = 100
-# A new replica's word counts for an acknowledgement once it has been listed
-# for 300 ms, and a member that is asked after that is not paused. So a list
-# that is no older when the order goes out names it; reading it takes a third
-# of that at most.
+# A new replica's report counts towards an acknowledgement once the replica has
+# been listed for 300 ms, and a member that is queried after that is not
+# paused. A list that is at most this old when the order is sent therefore
+# includes the replica. Reading the list takes at most a third of this time.
 LIST_MAX_AGE_MS = 200
-# What a primary held so long before it was last heard counts as
-# acknowledged: replicas receive within milliseconds.
+# Entries that a primary held this long before its last reply are assumed to be
+# acknowledged, because replicas receive them within milliseconds.
 ASSUME_ACKNOWLEDGED_MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """Hold one attempt to replace a primary."""
+    """State of one attempt to replace a primary."""
 
     old_primary: str
     why: str
     began_ms: int
-    # Above every term that was seen: upstreams refuse a pause otherwise.
+    # Higher than every term seen; upstreams refuse a pause otherwise.
     term: int
     token: int
-    # The successor of a primary that leaves; the others are paused.
+    # The planned successor of a leaving primary; all other replicas are
+    # paused. Empty if the primary is lost.
     successor: str = ''
-    # Since when the leaving primary is told to stop leading, for the answer
-    # of a member that may confirm its writes cannot be had.
+    # Time since which the leaving primary is being demoted because a member
+    # that may confirm its writes does not reply.
     demoting_since_ms: int | None = None
+    # The old primary responds, but gets no writes confirmed or has been
+    # replaced.
     unconfirmed: bool = False
-    # Only look, pause nobody: is there anyone who may follow?
+    # Only send status queries, without pausing any member, to find out
+    # whether another upstream could be promoted.
     is_query_only: bool = False
     reports: dict[str, statements.StatusReport] = dataclasses.field(
         default_factory=dict
     )
     asked_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     reported_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    # When what calls for it began.
+    # When the condition that caused the attempt started.
     since_ms: int = 0
-    # Members that lead an older term in their own eyes; demoted first.
+    # Members that report leading an older term; they are demoted first.
     stale_primaries: set[str] = dataclasses.field(default_factory=set)
-    # Members whose first answer to a pause was logged.
+    # Members whose first reply to a pause has been logged.
     logged_paused: set[str] = dataclasses.field(default_factory=set)
-    # The list of upstreams is being read anew; when it last was.
     is_reading_list: bool = False
+    # When the list of upstreams was last read during this attempt.
     list_read_ms: int | None = None
     chosen: str = ''
-    # What the chosen one had received when it was chosen.
+    # Where the chosen upstream's log ended when it was chosen.
     chosen_position: places.Place = places.ORIGIN
     ordered_ms: int = 0
-    # Who was to follow is listed no more, or began again as another.
+    # The successor or chosen upstream is no longer listed, or was recreated.
     successor_gone: bool = False
-    # An order is under way; its answer is still to come.
+    # An order was sent and has not been answered yet.
     is_order_pending: bool = False
     accepted: bool = False
 
 
 def required_members(state: states.GroupState, attempt: Attempt) -> list[str]:
-    """Return those whose answer is needed before anyone is chosen.
+    """Return the members that must report before a new primary is chosen.
 
-    Once one is chosen they are the others, who stay paused until it leads.
-    A leaving primary that was demoted says itself what its heir has to hold.
+    Once it is chosen, return all members but the chosen one; they stay paused
+    until it leads. A leaving primary that was demoted reports itself what
+    its successor has to hold, so only these two are needed then.
     """
     if attempt.demoting_since_ms is not None and not attempt.chosen:
-        both = (attempt.old_primary, attempt.successor)
-        return [name for name in both if name in state.upstreams]
+        names = (attempt.old_primary, attempt.successor)
+        return [name for name in names if name in state.upstreams]
     return [
         name
         for name in state.upstreams
@@ -101,10 +108,11 @@
 
 
 def members_to_query(state: states.GroupState, attempt: Attempt) -> list[str]:
-    """Return those to be asked: the members, and who may be chosen as well.
+    """Return the members to query.
 
-    A lost primary that began again is a replica like any other. It is not
-    waited for: its start may take seconds.
+    These are the required members and a lost primary that was recreated: it
+    is a replica like any other and may be chosen, but its report is not
+    awaited because its start may take seconds.
     """
     names = required_members(state, attempt)
     if attempt.old_primary not in names and evidence.began_again(
@@ -120,16 +128,16 @@
     name: str,
     report: statements.StatusReport,
 ) -> None:
-    """Take in what a member says of itself."""
+    """Record a member's status report."""
     attempt.reports[name] = report
     attempt.reported_ms[name] = now_ms
     if name != attempt.successor:
-        # Asked again as soon as this is not fresh any more.
+        # It is queried again as soon as this report has expired.
         attempt.asked_ms.pop(name, None)
 
 
 def forget_member(attempt: Attempt, name: str) -> None:
-    """Forget what a member said that is listed no more, or is another now."""
+    """Discard the reports of a member that was removed or recreated."""
     attempt.reports.pop(name, None)
     attempt.reported_ms.pop(name, None)
     attempt.asked_ms.pop(name, None)
@@ -139,14 +147,14 @@
 
 
 def forget_reports(attempt: Attempt) -> None:
-    """Ask everyone anew."""
+    """Discard all reports, so that all members are queried again."""
     attempt.reports.clear()
     attempt.reported_ms.clear()
     attempt.asked_ms.clear()
 
 
 def has_fresh_report(attempt: Attempt, now_ms: int, name: str) -> bool:
-    """Say whether a member's report still counts."""
+    """Return whether a member's report is recent enough to count."""
     reported_ms = attempt.reported_ms.get(name)
     return (
         reported_ms is not None and now_ms - reported_ms <= REPORT_MAX_AGE_MS
@@ -156,9 +164,10 @@
 def paused_log_end(
     attempt: Attempt, now_ms: int, name: str
 ) -> places.Place | None:
-    """Return where the log of a member ends that is paused, None if unknown.
+    """Return where a paused member's log ends.
 
-    The heir goes on receiving, and a look pauses nobody.
+    Return None if that is unknown: the successor keeps receiving, and a
+    query-only attempt pauses no members.
     """
     if attempt.is_query_only or name == attempt.successor:
         return None
@@ -168,7 +177,10 @@
 
 
 def has_fresh_list(attempt: Attempt, now_ms: int) -> bool:
-    """Say whether all are known who may vouch for an acknowledged write."""
+    """Return whether all members that may confirm a write are known.
+
+    That is so if the list of upstreams was read recently enough.
+    """
     read_ms = attempt.list_read_ms
     return read_ms is not None and now_ms - read_ms <= LIST_MAX_AGE_MS
 
@@ -176,16 +188,16 @@
 def has_receiving_replica(
     state: states.GroupState, now_ms: int, attempt: Attempt
 ) -> bool:
-    """Say whether some replica has what the primary held a moment ago.
+    """Return whether a replica holds what the primary held shortly before.
 
-    Then writes are confirmed, and what hangs is the answer: one was lost, or
-    the replicas only apply late what they receive at once.
+    If so, writes are being confirmed and only replies are missing: a reply
+    was lost, or replicas apply late what they receive immediately.
     """
-    before = freshness.position_at(state, now_ms - evidence.STANDING_MS)
-    if before is None:
+    earlier = freshness.position_at(state, now_ms - evidence.STANDING_MS)
+    if earlier is None:
         return False
     return any(
-        report.received >= before
+        report.received >= earlier
         for name, report in attempt.reports.items()
         if name != attempt.old_primary
     )
@@ -194,84 +206,99 @@
 def is_blocked(
     state: states.GroupState, now_ms: int, attempt: Attempt
 ) -> bool:
-    """Say whether only silent members keep the heir from being chosen."""
+    """Return whether only silent members block the hand-over."""
     if not has_fresh_report(attempt, now_ms, attempt.successor):
         return False
-    heir = attempt.reports[attempt.successor].received
-    answered, silent = _split(state, now_ms, attempt)
+    position = attempt.reports[attempt.successor].received
+    reporting, silent = _split_by_report(state, now_ms, attempt)
     if not silent:
         return False
-    return all(heir >= attempt.reports[name].received for name in answered)
+    return all(
+        position >= attempt.reports[name].received for name in reporting
+    )
 
 
-def _split(
+def _split_by_report(
     state: states.GroupState, now_ms: int, attempt: Attempt
 ) -> tuple[list[str], list[str]]:
-    """Return the members whose reports count, and the others."""
-    asked = required_members(state, attempt)
-    answered = [
-        name for name in asked if has_fresh_report(attempt, now_ms, name)
+    """Return the required members with and without a fresh report."""
+    required = required_members(state, attempt)
+    reporting = [
+        name for name in required if has_fresh_report(attempt, now_ms, name)
     ]
-    return answered, [name for name in asked if name not in answered]
+    return reporting, [name for name in required if name not in reporting]
 
 
 def choose_primary(
     state: states.GroupState, now_ms: int, attempt: Attempt
 ) -> str:
-    """Return who may be promoted without losing anything, if anyone."""
-    answered, silent = _split(state, now_ms, attempt)
-    if not answered or silent:
+    """Return the upstream that can be promoted without losing writes.
+
+    Return an empty string if there is none.
+    """
+    reporting, silent = _split_by_report(state, now_ms, attempt)
+    if not reporting or silent:
         return ''
     lost = attempt.old_primary
     if evidence.began_again(state, lost):
-        if lost not in answered and has_fresh_report(attempt, now_ms, lost):
-            answered.append(lost)
+        if lost not in reporting and has_fresh_report(attempt, now_ms, lost):
+            reporting.append(lost)
         lost = ''
-    held = {name: attempt.reports[name].received for name in answered}
+    positions = {name: attempt.reports[name].received for name in reporting}
     if attempt.demoting_since_ms is not None:
-        enough = held.get(attempt.successor, places.ORIGIN) >= max(
-            held.values()
+        is_caught_up = positions.get(attempt.successor, places.ORIGIN) >= max(
+            positions.values()
         )
-        return attempt.successor if enough else ''
+        return attempt.successor if is_caught_up else ''
     if attempt.successor:
-        place = held[attempt.successor]
-        enough = place >= max(held.values()) and _may_lead_next(state, place)
-        complete = _is_complete(state, now_ms, attempt, place)
-        return attempt.successor if enough and complete else ''
-    others = {name: held[name] for name in answered if name != lost}
+        position = positions[attempt.successor]
+        is_caught_up = position >= max(
+            positions.values()
+        ) and _holds_known_writes(state, position)
+        is_complete = _is_complete(state, now_ms, attempt, position)
+        return attempt.successor if is_caught_up and is_complete else ''
+    others = {name: positions[name] for name in reporting if name != lost}
     highest = max(others.values(), default=places.ORIGIN)
-    complete = _is_complete(state, now_ms, attempt, highest)
-    enough = complete and highest >= _floor(state, attempt)
-    if not others or not enough or _may_hold_alone(state, attempt, highest):
+    is_complete = _is_complete(state, now_ms, attempt, highest)
+    is_enough = is_complete and highest >= _min_position(state, attempt)
+    if (
+        not others
+        or not is_enough
+        or _may_hold_exclusively(state, attempt, highest)
+    ):
         return attempt.old_primary if attempt.unconfirmed else ''
-    able = [name for name in others if others[name] == highest]
-    staying = [n for n in able if not state.upstreams[n].leaving]
+    eligible = [name for name in others if others[name] == highest]
+    staying = [n for n in eligible if not state.upstreams[n].leaving]
     return min(
-        staying or able, key=lambda name: (name == attempt.old_primary, name)
+        staying or eligible,
+        key=lambda name: (name == attempt.old_primary, name),
     )
 
 
-def _may_lead_next(state: states.GroupState, place: places.Place) -> bool:
-    """Say whether a log holds what a leaving primary is known to have.
+def _holds_known_writes(
+    state: states.GroupState, position: places.Place
+) -> bool:
+    """Return whether a log reaches what a leaving primary is known to hold.
 
-    What the paused ones hold is not enough before they have followed it.
+    Reaching the logs of the paused replicas is not enough until they have
+    followed the leaving primary.
     """
     start = state.start
-    if start.upstream == state.primary and place < start.place:
+    if start.upstream == state.primary and position < start.place:
         return False
-    return place >= state.acknowledged
+    return position >= state.acknowledged
 
 
 def _is_complete(
     state: states.GroupState,
     now_ms: int,
     attempt: Attempt,
-    place: places.Place,
+    position: places.Place,
 ) -> bool:
-    """Say whether no departed upstream can have confirmed more than that.
+    """Return whether no departed member can have confirmed a later position.
 
-    The last primary's own log holds all that was acknowledged. So a log that
-    reaches as far is complete, whoever departed.
+    The last primary's own log holds all acknowledged writes, so a log that
+    reaches its end is complete, whichever members departed.
     """
     primaries = frozenset(
         {attempt.old_primary, state.proven, state.last_primary}
@@ -280,19 +307,20 @@
         report = attempt.reports.get(name)
         if report is None or evidence.began_again(state, name):
             continue
-        if place >= report.received:
+        if position >= report.received:
             return True
-    return not state.departures.may_exceed(now_ms, place, primaries)
+    return not state.departures.may_exceed(now_ms, position, primaries)
 
 
-def _may_hold_alone(
+def _may_hold_exclusively(
     state: states.GroupState, attempt: Attempt, highest: places.Place
 ) -> bool:
-    """Say whether a demoted primary may hold alone what it began with.
+    """Return whether only a demoted primary may hold its initial entries.
 
-    What it holds beyond the others was never confirmed to it, but before its
-    lead it may have confirmed part of that to the primary before it. Whoever
-    holds an entry of its term holds all that it began with.
+    Entries that it holds beyond the other members were never confirmed to
+    it. But before its term it may have confirmed some of them to the
+    previous primary. A member that holds an entry of the demoted primary's
+    term holds everything that the term started with.
     """
     report = attempt.reports.get(attempt.old_primary)
     if report is None or highest >= report.received:
@@ -303,14 +331,14 @@
     return highest.log_term < report.term
 
 
-def _floor(state: states.GroupState, attempt: Attempt) -> places.Place:
-    """Return the place that whoever is promoted has to hold."""
-    floor = state.acknowledged
-    old = state.upstreams.get(attempt.old_primary)
-    if attempt.unconfirmed or old is None:
-        return floor
-    settled_ms = old.heard_ms - ASSUME_ACKNOWLEDGED_MS
+def _min_position(state: states.GroupState, attempt: Attempt) -> places.Place:
+    """Return the log position that the new primary must at least hold."""
+    minimum = state.acknowledged
+    old_primary = state.upstreams.get(attempt.old_primary)
+    if attempt.unconfirmed or old_primary is None:
+        return minimum
+    acknowledged_ms = old_primary.heard_ms - ASSUME_ACKNOWLEDGED_MS
     for sample in state.samples:
-        if sample.sent_ms <= settled_ms:
-            floor = max(floor, sample.place)
-    return floor
+        if sample.sent_ms <= acknowledged_ms:
+            minimum = max(minimum, sample.place)
+    return minimum
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -1,22 +1,25 @@
-"""Replace a primary that is lost or leaves: pause, look, order.
-
-Every acknowledged write is in the log of some replica. Once a replica is
-paused it confirms nothing more, so what it reports in its answer to the
-pause is all that it can have confirmed. For a lost primary all replicas are
-paused and the highest is promoted. For one that leaves, all but the
-successor are paused: from then on every write needs the successor, and once
-that holds what the paused ones reported it holds all that was acknowledged,
-without a stop of writes.
-
-A primary that answers but gets nothing confirmed is demoted first: cut off
-from its replicas it may reach one again at any moment. Its log holds all
-that was acknowledged, so if no replica provably does, it is promoted anew.
-
-A replica that cannot be asked may be the only one that holds an acknowledged
-write. Nobody is promoted without its answer, nor anyone whose log ends
-before what is known to be acknowledged: the last replica that is listed may
-be one that received nothing for a while. The list of upstreams is read anew
-meanwhile, for one that only others know may hold it as well.
+"""Replace a primary that is lost or leaving: pause, compare logs, promote.
+
+Every acknowledged write is in the log of some replica. A paused replica
+confirms no further writes, so the log position in its reply to the pause
+bounds everything that it can have confirmed. If the primary is lost, all
+replicas are paused and the one with the longest log is promoted. If the
+primary is leaving, all replicas but the successor are paused. From then on
+every write needs the successor's confirmation. Once the successor holds
+everything that the paused replicas reported, it holds all acknowledged
+writes, and it can be promoted without interrupting writes.
+
+A primary that responds but gets no writes confirmed is demoted first: it is
+cut off from its replicas and may reach one of them again at any moment. Its
+log holds all acknowledged writes, so it is promoted again if no replica
+provably holds them all.
+
+A replica that cannot be queried may be the only one that holds an
+acknowledged write. No member is promoted before every replica has replied,
+or if its log ends before the position known to be acknowledged: the only
+replica still listed may have received nothing for a while. The list of
+upstreams is read again during the attempt, because a replica that only other
+proxies have seen may also hold such a write.
 """
 
 from topazring.core.synchronous import asking
@@ -33,52 +36,57 @@
 
 __all__ = ['advance', 'handle_list_read', 'tick']
 
-# A promotion takes some hundred ms after the order. One that shows nothing
-# for so long failed, and the group is looked at anew.
+# A promotion takes a few hundred ms after the order is sent. If there is no
+# new primary after this long, the attempt has failed and the group is
+# evaluated again.
 LEAD_TIMEOUT_MS = 3000
-# A paused replica confirms nothing. If the primary lives after all, writes
-# stand still meanwhile, so an attempt that cannot choose lets go again.
+# Paused replicas confirm no writes. If the primary is alive after all, its
+# writes block in the meantime, so an attempt that cannot choose a new primary
+# within this time is ended and the replicas are resumed.
 CHOICE_TIMEOUT_MS = 800
 
 
 def tick(state: states.GroupState, now_ms: int) -> list:
-    """Begin, go on with, or end an attempt; resume who was paused."""
+    """Start, continue or end an attempt; resume paused members."""
     if not state.holds_duty:
         return []
     attempt = state.promotion
     if attempt is not None:
         return advance(state, now_ms, attempt)
     if promotion_lease.is_another_promoting(state, now_ms):
-        return _yield_to_another(state)
+        return _yield_lease(state)
     if now_ms < state.next_promotion_ms:
         return []
     loss = evidence.judge(state, now_ms)
     if loss is not None:
-        return _begin(state, now_ms, loss.upstream, loss.why, loss)
-    old = state.upstreams.get(state.primary)
-    if old is not None and old.leaving:
-        heir = _heir(state, now_ms)
-        if heir:
+        return _begin_attempt(state, now_ms, loss.upstream, loss.why, loss)
+    primary = state.upstreams.get(state.primary)
+    if primary is not None and primary.leaving:
+        successor = _choose_successor(state, now_ms)
+        if successor:
             why = 'it leaves'
-            return _begin(state, now_ms, old.name, why, None, heir)
+            return _begin_attempt(
+                state, now_ms, primary.name, why, None, successor
+            )
     return asking.resume(state, now_ms)
 
 
-def _yield_to_another(state: states.GroupState) -> list:
-    """Leave the duty to whoever paused the members of the group."""
+def _yield_lease(state: states.GroupState) -> list:
+    """Yield the promotion lease to the proxy that paused the members."""
     state.holds_duty = False
     state.promotion = None
     state.counters['promotion_left_to_another'] += 1
-    paused = {u.name: u.held_term for u in state.upstreams.values()}
-    inputs = {'term': state.term, 'held_terms': paused}
+    held_terms = {u.name: u.held_term for u in state.upstreams.values()}
+    inputs = {'term': state.term, 'held_terms': held_terms}
     decided = messages.Decided('another promotes', inputs=inputs)
     return [decided, messages.YieldDuty('another promotes')]
 
 
-def _heir(state: states.GroupState, now_ms: int) -> str:
-    """Return the replica to follow a leaving primary.
+def _choose_successor(state: states.GroupState, now_ms: int) -> str:
+    """Return the replica that is to succeed a leaving primary.
 
-    It stays, can be asked, and its log is ahead.
+    Of the replicas that are not leaving, it is the one with the longest log
+    among those that can be reached, or among all if none can be reached.
     """
     staying = [
         upstream
@@ -87,42 +95,44 @@
     ]
     if not staying:
         return ''
-    reached = [
+    reachable = [
         upstream
         for upstream in staying
         if not proofs.is_unreached(state, now_ms, upstream)
     ]
-    ahead = max(reached or staying, key=lambda u: (u.place, u.vouches, u.name))
-    return ahead.name
+    longest = max(
+        reachable or staying, key=lambda u: (u.place, u.vouches, u.name)
+    )
+    return longest.name
 
 
-def _begin(
+def _begin_attempt(
     state: states.GroupState,
     now_ms: int,
-    old: str,
+    old_primary: str,
     why: str,
     loss: evidence.Loss | None,
-    heir: str = '',
+    successor: str = '',
 ) -> list:
     state.token += 1
     attempt = attempts.Attempt(
-        old, why, now_ms, state.term + 1, state.token, heir
+        old_primary, why, now_ms, state.term + 1, state.token, successor
     )
     if loss is not None:
         attempt.unconfirmed = loss.unconfirmed or loss.replaced
         attempt.is_query_only = loss.unconfirmed
     attempt.since_ms = now_ms if loss is None else loss.since_ms
     state.promotion = attempt
-    what = (
+    event = (
         'promotion considered' if attempt.is_query_only else 'promotion begins'
     )
-    state.counters[what.replace(' ', '_')] += 1
+    state.counters[event.replace(' ', '_')] += 1
     decided = messages.Decided(
-        what,
+        event,
         inputs={
-            'old': old,
+            'old': old_primary,
             'why': why,
-            'heir': heir,
+            'heir': successor,
             'token': attempt.token,
             'since_ms': 0 if loss is None else now_ms - loss.since_ms,
         },
@@ -137,12 +147,12 @@
     if attempt.is_query_only and promotion_lease.is_another_promoting(
         state, now_ms
     ):
-        return _yield_to_another(state)
-    ended = _end(state, now_ms, attempt)
+        return _yield_lease(state)
+    ended = _end_if_finished(state, now_ms, attempt)
     if ended is not None:
         return ended
     if attempt.chosen:
-        return _stand_by(state, now_ms, attempt)
+        return _keep_paused(state, now_ms, attempt)
     outs = promotion_order.request_list(now_ms, attempt)
     outs += asking.ask(state, now_ms, attempt)
     chosen = attempts.choose_primary(state, now_ms, attempt)
@@ -159,7 +169,7 @@
             state, now_ms, attempt, 'nobody may follow'
         )
     if attempt.is_query_only:
-        return outs + _stop_looking(state, now_ms, attempt)
+        return outs + _start_pausing(state, now_ms, attempt)
     return outs + promotion_order.order_promotion(
         state, now_ms, attempt, chosen
     )
@@ -168,26 +178,27 @@
 def handle_list_read(
     state: states.GroupState, now_ms: int, message: messages.ListRead
 ) -> list:
-    """Take in that all who are listed are known."""
+    """Continue the attempt once the list of upstreams has been read."""
     attempt = state.promotion
     if attempt is None or attempt.token != message.token:
         return []
     attempt.is_reading_list = False
     if not message.complete:
-        # Asked again at the next tick.
+        # The list is requested again at the next tick.
         return []
     attempt.list_read_ms = now_ms
     return advance(state, now_ms, attempt)
 
 
-def _stand_by(
+def _keep_paused(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     """Keep replicas paused until the order is carried out.
 
-    One that restarts is paused no more, one that just came never was, and
-    either could confirm writes of a primary that is back. If one did, and
-    the order is still open, another upstream has to be chosen.
+    A replica that restarts loses its pause, and a new replica was never
+    paused. Either could confirm writes of a primary that has returned. If
+    one did and the order has not been accepted yet, another upstream has to
+    be chosen.
     """
     if not attempt.accepted and _is_overtaken(attempt):
         return promotion_end.finish(state, now_ms, attempt, 'overtaken')
@@ -198,11 +209,16 @@
 
 
 def _is_overtaken(attempt: attempts.Attempt) -> bool:
-    """Say whether somebody received more since the order went out."""
+    """Return whether a member received more than the chosen upstream.
+
+    The comparison is with what the chosen one had received when the order
+    was first sent.
+    """
     if attempt.chosen in (attempt.old_primary, attempt.successor):
-        # An heir goes on receiving; its place is older than the others'.
+        # The successor keeps receiving, so its recorded log position is older
+        # than the positions of the others.
         return False
-    # What the demoted primary holds beyond that was never confirmed.
+    # Entries that only the demoted primary holds were never confirmed.
     return any(
         report.received > attempt.chosen_position
         for name, report in attempt.reports.items()
@@ -210,10 +226,10 @@
     )
 
 
-def _stop_looking(
+def _start_pausing(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
-    """Pause the replicas now that one of them could follow."""
+    """Pause the replicas once the status queries found a new primary."""
     attempt.is_query_only = False
     attempts.forget_reports(attempt)
     state.counters['promotion_begins'] += 1
@@ -227,89 +243,96 @@
     return [decided, *asking.ask(state, now_ms, attempt)]
 
 
-def _end(
+def _end_if_finished(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list | None:
-    """End an attempt that succeeded, or that nothing calls for any more."""
-    leads = state.primary
-    renewed = attempt.chosen == attempt.old_primary and attempt.accepted
-    if leads and (leads != attempt.old_primary or renewed):
-        if leads == attempt.chosen != attempt.successor:
-            # An heir received more after it was chosen.
-            state.start = known_places.Start(leads, attempt.chosen_position)
+    """End an attempt that succeeded, failed or is no longer needed.
+
+    Return None if the attempt is to continue.
+    """
+    primary = state.primary
+    is_renewed = attempt.chosen == attempt.old_primary and attempt.accepted
+    if primary and (primary != attempt.old_primary or is_renewed):
+        if primary == attempt.chosen != attempt.successor:
+            # A successor received more entries after it was chosen, so the
+            # chosen position is not where its term started.
+            state.start = known_places.Start(primary, attempt.chosen_position)
         state.successor_gone = False
         return promotion_end.finish(state, now_ms, attempt, 'succeeded')
     if attempt.successor_gone:
-        return _lose_successor(state, now_ms, attempt)
+        return _end_without_successor(state, now_ms, attempt)
     if attempt.chosen:
-        # Without an answer the order stands, and it is repeated until there
-        # is one. Meanwhile all are paused, so a primary that is back
-        # acknowledges nothing that the chosen one lacks.
+        # An unanswered order may still be carried out, so it is resent until
+        # it is answered. All replicas stay paused in the meantime, so a
+        # primary that has returned acknowledges nothing that the chosen
+        # upstream lacks.
         if attempt.accepted and now_ms - attempt.ordered_ms > LEAD_TIMEOUT_MS:
             return promotion_end.finish(state, now_ms, attempt, 'nobody leads')
         return None
     if not attempt.successor and now_ms - attempt.began_ms > CHOICE_TIMEOUT_MS:
         if attempt.unconfirmed and not attempt.is_query_only:
-            # It may have been demoted; the search for one that leads shows.
+            # The old primary may have been demoted. The search for the
+            # current primary will show whether it was.
             state.primary = ''
             state.primary_lost_ms = attempt.began_ms
         return promotion_end.finish(
             state, now_ms, attempt, 'nobody may follow'
         )
-    old = state.upstreams.get(attempt.old_primary)
-    if attempt.is_query_only and old is not None:
-        if evidence.silent(state, now_ms, old) is not None:
+    old_primary = state.upstreams.get(attempt.old_primary)
+    if attempt.is_query_only and old_primary is not None:
+        if evidence.silent(state, now_ms, old_primary) is not None:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
     if attempt.successor:
-        if old is None or evidence.judge(state, now_ms) is not None:
+        if old_primary is None or evidence.judge(state, now_ms) is not None:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
-        return _unblock(state, now_ms, attempt)
-    if old is None:
+        return _unblock_hand_over(state, now_ms, attempt)
+    if old_primary is None:
         if attempt.unconfirmed:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
         return None
-    alive = old.heard_ms > attempt.began_ms
+    is_alive = old_primary.heard_ms > attempt.began_ms
     if attempt.unconfirmed:
-        alive = old.confirmed_ms > attempt.began_ms
-    if alive and leads == attempt.old_primary:
+        is_alive = old_primary.confirmed_ms > attempt.began_ms
+    if is_alive and primary == attempt.old_primary:
         return promotion_end.finish(state, now_ms, attempt, 'it is back')
     return None
 
 
-def _lose_successor(
+def _end_without_successor(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
-    """End an attempt whose successor is gone.
+    """End an attempt whose successor or chosen upstream is gone.
 
-    An order for it may have been carried out, or may be yet. So it is not
-    repeated, for one that bears its name now is empty, and the primary that
-    it was to replace is replaced by the next attempt, also if it is back.
+    An order for it may have been carried out already, or may still be. The
+    order is not resent, because an upstream recreated under the same name is
+    empty. The next attempt replaces the old primary even if it has returned.
     """
     if attempt.chosen:
         confirmations.lose_successor(state, now_ms)
     return promotion_end.finish(state, now_ms, attempt, 'lost meanwhile')
 
 
-def _unblock(
+def _unblock_hand_over(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list | None:
     """Demote a leaving primary whose hand-over waits for a silent member.
 
-    The member may go on confirming writes that the heir lacks. A demoted
-    primary gets nothing confirmed any more, and says what its log holds. It
-    costs the time of a promotion without writes; waiting costs the time from
-    the end of the primary's drain to its end, seconds.
+    The silent member may keep confirming writes that the successor lacks. A
+    demoted primary gets no further writes confirmed and reports its log
+    position. Demoting it blocks writes for the duration of a promotion;
+    waiting would block them from the end of the primary's drain until it
+    stops, which is seconds.
     """
     if attempt.demoting_since_ms is None:
         waited_ms = now_ms - attempt.began_ms
-        blocked = attempts.is_blocked(state, now_ms, attempt)
-        if waited_ms > CHOICE_TIMEOUT_MS and blocked:
+        is_blocked = attempts.is_blocked(state, now_ms, attempt)
+        if waited_ms > CHOICE_TIMEOUT_MS and is_blocked:
             attempt.demoting_since_ms = now_ms
             attempts.forget_reports(attempt)
             inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
@@ -319,7 +342,8 @@
     if now_ms - attempt.demoting_since_ms < CHOICE_TIMEOUT_MS:
         return None
     if attempts.has_fresh_report(attempt, now_ms, attempt.old_primary):
-        # Its heir did not get all that it holds: it has to lead again.
+        # The successor did not receive everything that the old primary holds,
+        # so the old primary is promoted again.
         return promotion_order.order_promotion(
             state, now_ms, attempt, attempt.old_primary
         )
--- a/topazring/core/synchronous/promotion_end.py
+++ b/topazring/core/synchronous/promotion_end.py
@@ -7,16 +7,16 @@
 
 __all__ = ['finish']
 
-# Pause before the next attempt after one that was broken off.
+# Delay before the next attempt after an attempt that was aborted.
 RETRY_DELAY_MS = 300
-# After these the next attempt begins at once.
+# After these results the next attempt starts immediately.
 IMMEDIATE_RETRY = frozenset({'succeeded', 'overtaken', 'lost meanwhile'})
 
 
 def finish(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt, how: str
 ) -> list:
-    """End an attempt; resume who was paused."""
+    """End an attempt with the given result; resume paused members."""
     state.promotion = None
     state.next_promotion_ms = now_ms
     if attempt.is_query_only:
@@ -38,14 +38,15 @@
     outs: list = [decided, *asking.resume(state, now_ms)]
     if how != 'nobody may follow':
         return outs
-    # On the wrong side of a partition: another may reach them.
-    if not _heard_any(attempt):
+    # This proxy may be on the wrong side of a partition, and another proxy
+    # may reach the replicas.
+    if not _has_any_report(attempt):
         outs.append(messages.YieldDuty('no replica can be reached'))
     elif attempt.list_read_ms is None and not attempt.is_query_only:
         outs.append(messages.YieldDuty('the list cannot be read'))
     return outs
 
 
-def _heard_any(attempt: attempts.Attempt) -> bool:
-    """Say whether any member but the old primary answered."""
+def _has_any_report(attempt: attempts.Attempt) -> bool:
+    """Return whether any member other than the old primary reported."""
     return any(name != attempt.old_primary for name in attempt.reports)
--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -1,4 +1,4 @@
-"""Gain and lose the duty to promote, and outdo earlier holders' orders."""
+"""Gain and lose the promotion lease, and fence off earlier orders."""
 
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
@@ -11,29 +11,29 @@
     'handle_fence_result',
 ]
 
-# A guard is answered within a few ms; a promotion takes 300 at least. So who
-# proved to lead so long ago leads still.
+# A leadership check is answered within a few ms and a promotion takes at least
+# 300 ms, so an upstream with a leadership proof of this age still leads.
 PROOF_MAX_AGE_MS = 200
-# What a member said of its pause counts for so long; a promotion takes 300 ms
-# at least.
+# How long a member's report that it is paused remains valid; a promotion takes
+# at least 300 ms.
 PAUSE_REPORT_MAX_AGE_MS = 300
 
 
 def handle_lease_change(
     state: states.GroupState, now_ms: int, message: messages.DutySeen
 ) -> list:
-    """Take in whether this proxy may promote, and from which token on.
+    """Record whether this proxy holds the promotion lease, and its tokens.
 
-    A holder that died may have left replicas paused; its successor resumes
-    all that do not lead.
+    A previous holder that died may have left replicas paused, so the new
+    holder resumes all members except the primary.
     """
-    gained = message.holds and not state.holds_duty
+    is_gained = message.holds and not state.holds_duty
     state.holds_duty = message.holds
     if message.holds:
         state.token = max(state.token, message.token)
     else:
         state.promotion = None
-    if gained:
+    if is_gained:
         state.fence_token = 0
         state.paused = set(state.upstreams) - {state.primary}
         state.unfenced = True
@@ -41,13 +41,13 @@
 
 
 def is_another_promoting(state: states.GroupState, now_ms: int) -> bool:
-    """Say whether a member is paused, and not by this proxy.
+    """Return whether a member is paused, but not by this proxy.
 
-    Only the holder of the duty pauses. One that is cut off from the
-    platform's store, with peers that know no more, would not hear otherwise
-    that it was overtaken; one would notice by an order with a lower token
-    than its successor's. What a holder before left paused counts as paused
-    by the one that gained the duty, until that has resumed it.
+    Only the lease holder pauses members. A holder that is cut off from the
+    platform's store, with peers that have no newer information, has no other
+    way to detect that it was replaced; the symptom would be an order with a
+    lower token than that of the new holder. Members that a previous holder
+    left paused count as paused by the new holder until it resumes them.
     """
     return any(
         upstream.held_term > state.term
@@ -58,17 +58,18 @@
 
 
 def fence_earlier_orders(state: states.GroupState, now_ms: int) -> list:
-    """Make orders of earlier holders harmless.
+    """Fence off the orders of earlier lease holders.
 
-    One that got no answer may be carried out seconds later, when the primary
-    that it was to replace is back and has acknowledged more. An order for
-    the primary itself changes nothing, and its token is higher. It is given
-    only on proof that nobody else leads, the moment that proof arrives: by
-    an old proof it would bring a replaced primary back, without what its
-    successor acknowledged.
+    An unanswered order may be carried out seconds later, when the primary
+    that it was to replace has returned and acknowledged more writes. To
+    prevent that, order the promotion of the current primary: this changes
+    nothing, but carries a higher token. The order is sent only on proof that
+    no other upstream leads, and as soon as that proof arrives. Based on an
+    old proof, it would reinstate a replaced primary without the writes that
+    its successor acknowledged.
     """
-    wanted = state.holds_duty and state.unfenced and state.promotion is None
-    if not wanted or state.fence_token:
+    is_needed = state.holds_duty and state.unfenced and state.promotion is None
+    if not is_needed or state.fence_token:
         return []
     if now_ms - proofs.proven_ms(state) > PROOF_MAX_AGE_MS:
         return []
@@ -83,7 +84,7 @@
 def handle_fence_result(
     state: states.GroupState, message: messages.Ordered
 ) -> list:
-    """Take in the answer to an order that was to fence."""
+    """Process the reply to a fencing order."""
     state.fence_token = 0
     if message.result is messages.OrderResult.ACCEPTED:
         state.unfenced = False
--- a/topazring/core/synchronous/promotion_order.py
+++ b/topazring/core/synchronous/promotion_order.py
@@ -1,6 +1,6 @@
-"""Order the successor of a primary, and take in the platform's answers.
+"""Order the promotion of a new primary, and process the platform's replies.
 
-An order goes out only on a list of upstreams that has just been read.
+An order is sent only if the list of upstreams was read recently.
 """
 
 from topazring.core.synchronous import attempts
@@ -18,10 +18,10 @@
 
 
 def request_list(now_ms: int, attempt: attempts.Attempt) -> list:
-    """Have the list read anew while the members are paused.
+    """Request the list of upstreams again while members are paused.
 
-    A replica that this proxy does not know yet may be the only one that holds
-    an acknowledged write: others knew it and asked it.
+    A replica that this proxy has not seen yet may be the only one that holds
+    an acknowledged write, because other proxies saw it and queried it.
     """
     if attempt.is_query_only or attempt.is_reading_list:
         return []
@@ -37,7 +37,10 @@
     attempt: attempts.Attempt,
     chosen: str,
 ) -> list:
-    """Order a member to lead, on a list of upstreams that is young enough."""
+    """Order a member's promotion if the list of upstreams is recent enough.
+
+    Otherwise request the list first.
+    """
     if not attempts.has_fresh_list(attempt, now_ms):
         return request_list(now_ms, attempt)
     attempt.chosen = chosen
@@ -67,9 +70,10 @@
 def resend_order(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
-    """Send the order again that got no answer: same upstream, same token.
+    """Send an unanswered order again, with the same upstream and token.
 
-    The chosen one may have begun again meanwhile, empty.
+    This needs a recent list, because the chosen upstream may have been
+    recreated empty in the meantime.
     """
     if attempt.accepted or attempt.is_order_pending:
         return []
@@ -82,7 +86,7 @@
 def handle_order_result(
     state: states.GroupState, now_ms: int, message: messages.Ordered
 ) -> list:
-    """Take in the platform's answer to an order."""
+    """Process the platform's reply to an order."""
     attempt = state.promotion
     if message.token == state.fence_token:
         return promotion_lease.handle_fence_result(state, message)
@@ -90,27 +94,27 @@
         return []
     match message.result:
         case messages.OrderResult.ACCEPTED:
-            return _accepted(state, now_ms, attempt)
+            return _record_accepted(state, now_ms, attempt)
         case messages.OrderResult.UNANSWERED:
             attempt.is_order_pending = False
             return resend_order(state, now_ms, attempt)
         case messages.OrderResult.REFUSED:
-            # Until the platform's service confirms the duty again, another
-            # may hold it.
+            # Another proxy may hold the promotion lease until the platform's
+            # service confirms it again.
             state.holds_duty = False
             return promotion_end.finish(state, now_ms, attempt, 'refused')
 
 
-def _accepted(
+def _record_accepted(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     attempt.accepted = True
-    # This order's token outdoes all earlier ones as well.
+    # This order's token also fences off all earlier orders.
     state.unfenced = False
-    old = state.upstreams.get(attempt.old_primary)
+    old_primary = state.upstreams.get(attempt.old_primary)
     if state.primary == attempt.old_primary:
         state.primary = ''
         state.primary_lost_ms = now_ms
-    if old is not None:
-        old.refuted_ms = now_ms
+    if old_primary is not None:
+        old_primary.refuted_ms = now_ms
     return []
