--- a/topazring/core/synchronous/concurrency_limit.py
+++ b/topazring/core/synchronous/concurrency_limit.py
@@ -1,11 +1,11 @@
-"""Estimate how long a request waits for a connection; keep upstreams short.
-
-What counts is how long a connection is kept, by a statement or by a whole
-transaction with its caller's pauses, and only at upstreams that may serve the
-request. Replicas that apply late answer in no time that they lack a place:
-counted in, they make a line look short that the primary alone has to serve.
-One would notice by requests that wait for their whole time, and by hardly any
-that are refused on arrival.
+"""Estimate queueing times, and limit the statements running at an upstream.
+
+The estimate is based on how long a connection is held, by a statement or by a
+whole transaction including its caller's pauses, and only on upstreams that
+may serve the request. Replicas that apply late reply almost immediately that
+they lack a log position. If they were included, a queue that only the primary
+can serve would look short. The symptom would be requests that wait until
+their deadline, while hardly any are refused on arrival.
 """
 
 import collections.abc
@@ -14,52 +14,55 @@
 
 __all__ = [
     'adjust_limit',
-    'start_hold',
     'end_hold',
     'expected_wait_ms',
     'has_capacity',
     'late_after_ms',
+    'start_hold',
 ]
 
-# An estimate follows a change within some ten uses of a connection.
+# With this weight an estimate follows a change within about ten uses of a
+# connection.
 HOLD_TIME_WEIGHT = 0.1
-# An upstream whose statements take so many times as long as when they need
-# not queue is given less at a time. In a played crowd before a primary that
-# has to serve alone 2.0 to 2.5 brought 65 to 74% of the operations in within
-# their goals, no bound 64%; a whole fleet's connections make a statement take
-# eight times as long, and a transaction has several.
+# The concurrency limit of an upstream is lowered if its statements take this
+# many times as long as without queueing. In a load simulation with a primary
+# that serves alone, 2.0 to 2.5 brought 65 to 74% of the operations in within
+# their latency goals, compared with 64% without a limit. The connections of a
+# whole fleet make a statement take eight times as long, and a transaction
+# consists of several statements.
 QUEUED_FACTOR = 2.5
-# It is given a tenth less with each slow answer, and one connection more after
-# twenty quick ones.
+# Each slow reply lowers the limit by a tenth; twenty quick replies raise it by
+# one connection.
 DECREASE_FACTOR = 0.9
 INCREASE_STEP = 0.05
-# And half with each refusal for a full queue. Of a played crowd's statements
-# that came to an upstream 3% were refused without it, 0.3% with it.
+# Each refusal because of a full queue halves the limit. In a load simulation
+# 3% of the statements that reached an upstream were refused without this rule,
+# and 0.3% with it.
 REFUSED_DECREASE_FACTOR = 0.5
-# How fast a quick time is forgotten that is not seen any more: by half within
-# some 700 answers.
+# How fast the time without queueing is adjusted upwards if such short times
+# are no longer observed: by half within about 700 replies.
 BASELINE_WEIGHT = 0.001
-# An answer that takes so many usual times is late: a read is tried elsewhere
-# as well, and its connection is not counted as at work.
+# A reply is late if it takes this many times the usual time. A late read is
+# also tried at another upstream, and its connection is not counted as busy.
 LATE_FACTOR = 4.0
 MIN_LATE_MS = 60
 
 
 def start_hold(connection: states.Connection, now_ms: int) -> None:
-    """Note that a connection is taken for a request from the line."""
+    """Record that a connection was assigned to a request from the queue."""
     connection.taken_ms = now_ms
 
 
 def end_hold(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> None:
-    """Learn for how long a request kept its connection."""
+    """Update the hold time estimate once a request releases a connection."""
     taken_ms, connection.taken_ms = connection.taken_ms, None
     upstream = state.upstreams.get(connection.upstream)
     if taken_ms is None or upstream is None:
         return
-    kept_ms = now_ms - taken_ms
-    upstream.kept_ms += (kept_ms - upstream.kept_ms) * HOLD_TIME_WEIGHT
+    hold_time_ms = now_ms - taken_ms
+    upstream.kept_ms += (hold_time_ms - upstream.kept_ms) * HOLD_TIME_WEIGHT
 
 
 def expected_wait_ms(
@@ -67,10 +70,10 @@
     ahead: int,
     able: collections.abc.Collection[states.Upstream],
 ) -> float:
-    """Return how long until a connection is free behind so many requests.
+    """Estimate the wait for a connection behind `ahead` queued requests.
 
-    0 for the first in line: with nobody waiting connections would be idle
-    between two requests.
+    It is 0 for the first in the queue: if no request were allowed to wait,
+    connections would be idle between two requests.
     """
     if not ahead:
         return 0.0
@@ -79,52 +82,55 @@
 
 
 def _per_ms(state: states.GroupState, upstream: states.Upstream) -> float:
-    """Return how many requests an upstream takes from the line in 1 ms."""
-    held = sum(
+    """Return how many queued requests an upstream accepts per millisecond."""
+    connected = sum(
         connection.phase is not states.Phase.OPENING
         for connection in states.connections_to(state, upstream.name)
     )
-    by_kept = held / max(1.0, upstream.kept_ms)
-    by_room = min(held, upstream.most_busy) / max(1.0, upstream.service_ms)
-    return min(by_kept, by_room)
+    by_hold_time = connected / max(1.0, upstream.kept_ms)
+    by_limit = min(connected, upstream.most_busy) / max(
+        1.0, upstream.service_ms
+    )
+    return min(by_hold_time, by_limit)
 
 
 def adjust_limit(state: states.GroupState, upstream: states.Upstream) -> None:
-    """Have fewer connections at work where statements queue.
+    """Adjust an upstream's concurrency limit to its latest service time.
 
-    More of them do not make an upstream quicker once its slots are full. They
-    move the line from here, where the urgent goes first, to its queue, where
-    it does not, and each statement of a transaction stands in that anew.
+    Once an upstream's slots are full, more busy connections do not increase
+    its throughput. They only move requests from the local queue, which is
+    ordered by priority, to the upstream's queue, which is not, and in which
+    each statement of a transaction waits again.
     """
     if upstream.service_ms < upstream.quick_ms:
         upstream.quick_ms = upstream.service_ms
     else:
         slower_ms = upstream.service_ms - upstream.quick_ms
         upstream.quick_ms += slower_ms * BASELINE_WEIGHT
-    most = float(max(1, state.connection_share))
+    max_limit = float(max(1, state.connection_share))
     if upstream.service_ms > QUEUED_FACTOR * upstream.quick_ms:
         upstream.most_busy = max(
-            1.0, min(most, upstream.most_busy) * DECREASE_FACTOR
+            1.0, min(max_limit, upstream.most_busy) * DECREASE_FACTOR
         )
     else:
-        upstream.most_busy = min(most, upstream.most_busy + INCREASE_STEP)
+        upstream.most_busy = min(max_limit, upstream.most_busy + INCREASE_STEP)
 
 
 def reduce_limit(state: states.GroupState, upstream: states.Upstream) -> None:
-    """Have fewer connections at work where the queue is full."""
-    most = float(max(1, state.connection_share))
+    """Lower the concurrency limit of an upstream whose queue is full."""
+    max_limit = float(max(1, state.connection_share))
     upstream.most_busy = max(
-        1.0, min(most, upstream.most_busy) * REFUSED_DECREASE_FACTOR
+        1.0, min(max_limit, upstream.most_busy) * REFUSED_DECREASE_FACTOR
     )
 
 
 def has_capacity(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
-    """Say whether an upstream is to be given another request.
+    """Return whether an upstream may be given another request.
 
-    A connection whose answer is lost is not at work: counted as such, it
-    would keep the only place for as long as its answer is waited for.
+    A connection whose reply is late does not count as busy. If it did, a lost
+    reply could use up a limit of one for as long as the reply is awaited.
     """
     late_ms = now_ms - late_after_ms(upstream)
     busy = sum(
@@ -137,5 +143,5 @@
 
 
 def late_after_ms(upstream: states.Upstream) -> float:
-    """Return how long an answer may take before it is unusual."""
+    """Return after how many milliseconds a reply counts as late."""
     return max(MIN_LATE_MS, upstream.service_ms * LATE_FACTOR)
--- a/topazring/core/synchronous/connections.py
+++ b/topazring/core/synchronous/connections.py
@@ -1,10 +1,11 @@
 """Keep the connections to a group's upstreams within this proxy's share.
 
-All owners together may hold only so many connections to an upstream. They
-share what is left after a reserve for each: a whole fleet that lost its power
-comes back while the upstreams still hold the connections of before, for some
-seconds. An upstream that is at its limit refuses, and is left alone for a
-moment.
+The number of connections that all owners together may hold to an upstream is
+limited. Each owner has a reserve, and the owners share the remaining
+connections. The reserve is needed when a whole fleet returns after a power
+loss, while the upstreams still hold the previous connections for some
+seconds. An upstream that is at its connection limit refuses new connections
+and is not dialled again for a short time.
 """
 
 from topazring.core import outcomes
@@ -30,43 +31,45 @@
     'close_excess',
 ]
 
-# An upstream drops the connections of an instance that lost its power after
-# three seconds. Until then a proxy that has just started holds no more than
-# its part of the reserve, so that each of a fleet that comes back has as many.
+# An upstream drops the connections of an instance that lost power after three
+# seconds. Until then a proxy that has just started holds no more than its part
+# of the reserve, so that all proxies of a returning fleet get the same number.
 LINGER_MS = 3500
-# Of what an upstream takes for each owner, one part in so many is reserve; at
-# least one connection, and at most three: transactions whose callers pause
-# hold one or two of an owner at a time, and what is reserve is not used in
-# calm times.
+# One in this many of the connections that an upstream accepts per owner is
+# reserved, with a minimum of one and a maximum of three. Transactions whose
+# callers pause hold one or two of an owner's connections at a time, and
+# reserved connections are unused in normal operation.
 RESERVE_PARTS = 3
 MAX_RESERVE = 3
-# A refused dial costs the upstream little; the pause keeps a dead one from
-# being dialled in a tight loop.
+# A refused dial costs the upstream little; the delay prevents dialling a dead
+# upstream in a tight loop.
 DIAL_RETRY_MS = 100
 MAX_DIAL_RETRY_MS = 1000
-# An upstream at its limit is left alone for about the time in which a proxy
-# that leaves gives its connections back.
+# An upstream at its connection limit is dialled again after about the time in
+# which a leaving proxy releases its connections.
 LIMIT_RETRY_MS = 300
-# A proxy without any connection asks more often: it can serve nothing.
+# A proxy without any connection retries more often, since it cannot serve any
+# request.
 UNCONNECTED_LIMIT_RETRY_MS = 60
-# The longest statement takes some 200 ms behind a full queue; an answer that
-# takes longer than this is mostly lost.
+# The longest statement takes about 200 ms behind a full queue; a reply that
+# takes longer than this is usually lost.
 STALLED_MS = 250
-# A rolling restart takes one proxy away for some ten seconds at most.
+# In a rolling restart a proxy is absent for about ten seconds at most.
 GROW_AFTER_MS = 15_000
-# A connection beyond the share that was idle for so long is not needed.
+# A connection beyond the share that has been idle this long is not needed.
 EXCESS_IDLE_MS = 1000
-# A dial takes a slot for some ten milliseconds, behind a full queue of
-# statements for some hundred. One that hangs for longer is lost: an instance
-# without power never answers.
+# A dial occupies a slot for about ten milliseconds, and for about a hundred
+# behind a full queue of statements. A dial that takes longer than this has
+# failed: an instance without power never replies.
 DIAL_TIMEOUT_MS = 700
 
 
 def reserve_of(max_connections: int, owners: int) -> int:
     """Return how many connections to one upstream an owner starts with.
 
-    With one alone the first seconds after a loss of power are lost where
-    owners are few: transactions whose callers pause hold it.
+    If there are few owners, a single connection would be held by transactions
+    whose callers pause, and the first seconds after a power loss would be
+    lost.
 
     >>> reserve_of(23, 8), reserve_of(88, 8)
     (1, 3)
@@ -78,7 +81,7 @@
 def share_of(max_connections: int, owners: int, rank: int) -> int:
     """Return how many connections to one upstream an owner may hold.
 
-    What cannot be shared evenly goes to the first in rank.
+    Connections that cannot be shared evenly go to the first owners by rank.
 
     >>> [share_of(23, 8, rank) for rank in range(8)]
     [2, 2, 2, 2, 2, 2, 2, 1]
@@ -90,24 +93,25 @@
     1
     """
     reserve = reserve_of(max_connections, owners) * owners
-    even, left = divmod(max(0, max_connections - reserve), max(1, owners))
-    return max(1, even + (rank < left))
+    even, remainder = divmod(max(0, max_connections - reserve), max(1, owners))
+    return max(1, even + (rank < remainder))
 
 
 def update_share(
     state: states.GroupState, now_ms: int, message: messages.InstancesSeen
 ) -> list:
-    """Take in how many proxies there are; give back what is too much.
+    """Update this proxy's share of connections; close those beyond it.
 
-    More is taken only once it has been there for a while: a proxy that
-    leaves is mostly back in seconds. If its connections are taken meanwhile,
-    and all proxies lose their power, the reserve is too small for them.
+    A larger share is used only after it has been available for a while,
+    because a proxy that leaves usually returns within seconds. If the others
+    used its connections in the meantime and all proxies lost power, the
+    reserve would be too small for them.
     """
     share = 0
     if message.rank is not None:
-        most, owners = message.max_connections, message.count
-        share = share_of(most, owners, message.rank)
-        state.starting_share = reserve_of(most, owners)
+        max_connections, owners = message.max_connections, message.count
+        share = share_of(max_connections, owners, message.rank)
+        state.starting_share = reserve_of(max_connections, owners)
     if share <= state.connection_share or state.began_ms is None:
         state.larger_share = 0
         return _use_share(state, share)
@@ -118,7 +122,7 @@
 
 
 def apply_larger_share(state: states.GroupState, now_ms: int) -> list:
-    """Use a larger share that has been there for long enough."""
+    """Use a larger share that has been available for long enough."""
     if not state.larger_share:
         return []
     if now_ms - state.larger_share_ms < GROW_AFTER_MS:
@@ -135,18 +139,18 @@
     inputs = {'share': share, 'before': before}
     outs: list = [messages.Decided('connection share', inputs=inputs)]
     for upstream in state.upstreams:
-        spare = states.idle_connections(state, upstream)
+        idle = states.idle_connections(state, upstream)
         excess = len(states.connections_to(state, upstream)) - share
-        for connection in spare[: max(0, excess)]:
+        for connection in idle[: max(0, excess)]:
             outs += close_connection(state, connection)
     return outs
 
 
 def is_excluded_by_limit(state: states.GroupState, name: str) -> bool:
-    """Say whether this proxy has no connection, and gets none.
+    """Return whether this proxy has no connection and is refused new ones.
 
-    An upstream that is at its limit frees some when it drops those of
-    instances that lost their power, seconds later.
+    An upstream at its connection limit has free connections again seconds
+    later, when it drops those of instances that lost power.
     """
     upstream = state.upstreams.get(name)
     if upstream is None or not upstream.is_full:
@@ -155,7 +159,7 @@
 
 
 def has_usable_connection(state: states.GroupState, name: str) -> bool:
-    """Say whether some connection to an upstream is ready, or at work."""
+    """Return whether any connection to an upstream is idle or busy."""
     return any(
         connection.phase is not states.Phase.OPENING
         for connection in states.connections_to(state, name)
@@ -163,53 +167,55 @@
 
 
 def open_missing(state: states.GroupState, now_ms: int) -> list:
-    """Open what is missing, one dial an upstream at a time."""
+    """Open missing connections, with one dial per upstream at a time."""
     outs: list = []
     if state.began_ms is None:
         state.began_ms = now_ms
-    just_began = now_ms - state.began_ms < LINGER_MS
+    has_just_started = now_ms - state.began_ms < LINGER_MS
     share = state.connection_share
-    if just_began:
+    if has_just_started:
         share = min(state.starting_share, share)
     if state.holds_duty:
-        # Whoever promotes has to see the members, owner or not.
+        # The lease holder has to reach all members, even if it is no owner.
         share = max(1, share)
     for upstream in state.upstreams.values():
-        mine = states.connections_to(state, upstream.name)
-        if _is_opening(mine) or now_ms < upstream.dial_after_ms:
+        connections = states.connections_to(state, upstream.name)
+        if _is_opening(connections) or now_ms < upstream.dial_after_ms:
             continue
-        if len(mine) >= share + _are_all_stalled(now_ms, mine):
+        if len(connections) >= share + _are_all_stalled(now_ms, connections):
             continue
         if states.is_closed_to_work(upstream, now_ms):
-            # Its connections would only take up room at its successor.
+            # Connections to it would only occupy connections at its successor.
             continue
         outs.append(_dial(state, now_ms, upstream))
     return outs
 
 
-def _is_opening(mine: list[states.Connection]) -> bool:
-    return any(c.phase is states.Phase.OPENING for c in mine)
+def _is_opening(connections: list[states.Connection]) -> bool:
+    return any(c.phase is states.Phase.OPENING for c in connections)
 
 
-def _are_all_stalled(now_ms: int, mine: list[states.Connection]) -> bool:
-    """Say whether no connection to an upstream gets an answer.
+def _are_all_stalled(
+    now_ms: int, connections: list[states.Connection]
+) -> bool:
+    """Return whether no connection to an upstream gets a reply.
 
-    Answers can be lost while their upstream lives. A proxy has one or two
-    connections to each; once all of them wait for a lost answer it serves
-    nothing there, for as long as they are waited for. The reserve of one
-    connection a proxy is for this as well.
+    Replies can be lost although the upstream is alive. A proxy has one or two
+    connections to each upstream. Once all of them wait for a lost reply, the
+    proxy cannot use the upstream until they time out. The reserve of one
+    connection per proxy serves this purpose as well.
     """
-    return bool(mine) and all(
+    return bool(connections) and all(
         connection.phase is states.Phase.BUSY
         and now_ms - connection.sent_ms >= STALLED_MS
-        for connection in mine
+        for connection in connections
     )
 
 
 def close_excess(
     state: states.GroupState, now_ms: int
 ) -> list[messages.Close]:
-    """Give back what was dialled beyond the share, once it is idle."""
+    """Close connections beyond the share once they have been idle."""
     outs: list[messages.Close] = []
     if state.promotion is not None:
         return outs
@@ -235,15 +241,15 @@
     state.next_connection += 1
     connection = states.Connection(number, upstream.name, sent_ms=now_ms)
     state.connections[number] = connection
-    held = state.connections_by_upstream.setdefault(upstream.name, {})
-    held[number] = connection
+    by_number = state.connections_by_upstream.setdefault(upstream.name, {})
+    by_number[number] = connection
     return messages.Open(number, upstream.name, upstream.address)
 
 
 def handle_opened(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> list:
-    """Take in a connection that is ready."""
+    """Record that a connection is ready for commands."""
     upstream = state.upstreams.get(connection.upstream)
     mark_idle(connection, now_ms)
     if upstream is None:
@@ -261,7 +267,7 @@
 
 
 def mark_idle(connection: states.Connection, now_ms: int) -> None:
-    """Have a connection wait for its next commands."""
+    """Reset a connection to wait for its next commands."""
     connection.phase = states.Phase.IDLE
     connection.errand = states.Errand.NONE
     connection.commands = ()
@@ -275,26 +281,26 @@
     connection: states.Connection,
     message: messages.Closed,
 ) -> list:
-    """Take in the end of a connection; pause before the next dial."""
+    """Record the end of a connection; delay the next dial if it failed."""
     _remove_connection(state, connection)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
         return []
     if connection.phase is states.Phase.BUSY:
-        _note_unheard(upstream, connection)
+        _record_unanswered(upstream, connection)
     if connection.phase is not states.Phase.OPENING:
-        return [_lost(now_ms, connection, message)]
+        return [_log_lost_connection(now_ms, connection, message)]
     state.counters[f'dial_{message.reason}'] += 1
     if message.reason is outcomes.Reason.CONNECTION_LIMIT:
-        held = len(states.connections_to(state, upstream.name))
-        pause_ms = LIMIT_RETRY_MS if held else UNCONNECTED_LIMIT_RETRY_MS
+        count = len(states.connections_to(state, upstream.name))
+        delay_ms = LIMIT_RETRY_MS if count else UNCONNECTED_LIMIT_RETRY_MS
         upstream.is_full = True
-        upstream.dial_after_ms = now_ms + pause_ms
+        upstream.dial_after_ms = now_ms + delay_ms
         return []
     upstream.failed_dials += 1
-    _note_unheard(upstream, connection)
-    pause_ms = DIAL_RETRY_MS * upstream.failed_dials
-    upstream.dial_after_ms = now_ms + min(pause_ms, MAX_DIAL_RETRY_MS)
+    _record_unanswered(upstream, connection)
+    delay_ms = DIAL_RETRY_MS * upstream.failed_dials
+    upstream.dial_after_ms = now_ms + min(delay_ms, MAX_DIAL_RETRY_MS)
     if upstream.out_of_reach:
         return []
     upstream.out_of_reach = True
@@ -306,13 +312,14 @@
     return [messages.Decided('upstream out of reach', inputs=inputs)]
 
 
-def _note_unheard(
+def _record_unanswered(
     upstream: states.Upstream, connection: states.Connection
 ) -> None:
-    """Take in that nothing came for what was sent on a connection.
+    """Record since when an upstream has been unresponsive.
 
-    Not if the upstream was heard on another one since: then that connection
-    alone was silent, and its end must not make the upstream look lost.
+    Nothing is recorded if the upstream has replied on another connection
+    since: then only this connection was silent, and its end must not make
+    the upstream look lost.
     """
     if upstream.heard_ms > connection.sent_ms:
         return
@@ -320,7 +327,7 @@
         upstream.unheard_since_ms = connection.sent_ms
 
 
-def _lost(
+def _log_lost_connection(
     now_ms: int, connection: states.Connection, message: messages.Closed
 ) -> messages.Decided:
     return messages.Decided(
@@ -338,7 +345,7 @@
 def close_connection(
     state: states.GroupState, connection: states.Connection
 ) -> list[messages.Close]:
-    """Close a connection that is not to be used again."""
+    """Close a connection that must not be used again."""
     _remove_connection(state, connection)
     return [messages.Close(connection.number)]
 
@@ -346,16 +353,16 @@
 def _remove_connection(
     state: states.GroupState, connection: states.Connection
 ) -> None:
-    """Strike off a connection, and all that points at it by its number.
+    """Remove a connection and all references to its number.
 
-    A request or transaction that went on naming it would end the group at the
-    next look at that number; one would notice by processes that end with a
-    KeyError after connections were reset.
+    A request or transaction that still referred to it would end the group at
+    the next lookup of that number. The symptom would be processes that exit
+    with a KeyError after connections were reset.
     """
     del state.connections[connection.number]
-    held = state.connections_by_upstream[connection.upstream]
-    del held[connection.number]
-    if not held:
+    by_number = state.connections_by_upstream[connection.upstream]
+    del by_number[connection.number]
+    if not by_number:
         del state.connections_by_upstream[connection.upstream]
     state.transactions.pop(connection.transaction, None)
     work = state.work.get(connection.work)
@@ -376,7 +383,10 @@
 def dial_beyond_share(
     state: states.GroupState, now_ms: int, upstream: str
 ) -> list[messages.Open]:
-    """Dial beyond the share, where a group's fate waits for an answer."""
+    """Dial an upstream beyond the share if the group urgently needs a reply.
+
+    Return an empty list while a dial is in progress or delayed.
+    """
     known = state.upstreams.get(upstream)
     if known is None or now_ms < known.dial_after_ms:
         return []
@@ -391,7 +401,7 @@
     errand: states.Errand,
     commands: tuple[statements.Command, ...],
 ) -> messages.Send:
-    """Send commands on a connection and note what for."""
+    """Send commands on a connection and record their purpose."""
     connection.phase = states.Phase.BUSY
     connection.errand = errand
     connection.commands = commands
--- a/topazring/core/synchronous/listing.py
+++ b/topazring/core/synchronous/listing.py
@@ -1,8 +1,8 @@
-"""Keep what the platform lists: configuration, upstreams, proxies.
+"""Keep what the platform lists: configuration, upstreams and proxies.
 
-A version of the configuration never goes back. An upstream whose entry
-lapses is kept for a moment: entries lapse too while the service that holds
-them is away, and are back about two seconds after it.
+The configuration version never decreases. An upstream whose entry expires is
+kept for a grace period, because entries also expire while the service that
+holds them is unavailable. They reappear about two seconds after the service.
 """
 
 import collections.abc
@@ -26,28 +26,29 @@
     'upstreams_of',
 ]
 
-# An entry that is missing longer is gone. The users state two seconds after
-# the service's return.
+# An upstream whose entry is missing for longer is removed. According to the
+# users, entries reappear two seconds after the service returns.
 UPSTREAM_GRACE_MS = 2200
-# A proxy looks at its lease every 10 s and lists itself anew if that ended.
-# All entries of proxies may lapse while the service is away, and each would
-# take itself for the only owner of everything until the others are back.
+# A proxy checks its lease every 10 s and lists itself again if it has expired.
+# All proxy entries may expire while the service is unavailable, and each proxy
+# would then assume that it is the only owner of every group until the other
+# proxies are listed again.
 PROXY_GRACE_MS = 12_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """Hold one version of what operators configured."""
+    """One version of the operators' configuration."""
 
     version: int
     policies: collections.abc.Mapping[str, messages.Policy]
-    # Connections that an upstream of the service takes from all proxies.
+    # By service: connections that one upstream accepts from all proxies.
     max_connections: collections.abc.Mapping[str, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """Hold an upstream's own entry and the service that it serves."""
+    """An upstream's own entry and the service that it belongs to."""
 
     service: str
     upstream: messages.Listed
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProxyRecord:
-    """Hold the entry of one live proxy."""
+    """The entry of one live proxy."""
 
     name: str
     data_centre: str
@@ -68,15 +69,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Listing:
-    """Hold what is listed, by the platform's key."""
+    """All listed entries, by the platform's key."""
 
     configuration: Configuration | None = None
     upstreams: dict[str, UpstreamRecord] = dataclasses.field(
         default_factory=dict
     )
-    # Since when each entry is missing that did not say that it would leave.
+    # Since when each missing entry is missing, unless the upstream had
+    # announced that it was leaving.
     missing_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    # When each was first seen to be leaving, or an upper bound of that.
+    # Lower bound of the time at which each upstream started to leave.
     leaving_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     proxies: dict[str, ProxyRecord] = dataclasses.field(default_factory=dict)
 
@@ -88,16 +90,16 @@
     key: str,
     record: Record,
 ) -> set[str]:
-    """Take in an entry; return the services that it concerns.
+    """Apply a new or changed entry; return the affected services.
 
-    `confirmed_ms` is when the listing was last known to be complete: what
-    is new may have been written right after.
+    `confirmed_ms` is when the listing was last known to be complete; a new
+    entry may have been written immediately after that.
     """
     match record:
         case Configuration():
-            return _take_configuration(listing, record)
+            return _apply_configuration(listing, record)
         case UpstreamRecord():
-            return _take_upstream(listing, now_ms, confirmed_ms, key, record)
+            return _apply_upstream(listing, now_ms, confirmed_ms, key, record)
         case ProxyRecord():
             listing.missing_since_ms.pop(key, None)
             listing.proxies[key] = record
@@ -110,7 +112,7 @@
     return set(listing.configuration.max_connections)
 
 
-def _take_configuration(
+def _apply_configuration(
     listing: Listing, configuration: Configuration
 ) -> set[str]:
     current = listing.configuration
@@ -121,16 +123,16 @@
     return before | _services(listing)
 
 
-def _take_upstream(
+def _apply_upstream(
     listing: Listing,
     now_ms: int,
     confirmed_ms: int,
     key: str,
     record: UpstreamRecord,
 ) -> set[str]:
-    known = listing.upstreams.get(key)
-    if known is not None:
-        if record.upstream.revision < known.upstream.revision:
+    current = listing.upstreams.get(key)
+    if current is not None:
+        if record.upstream.revision < current.upstream.revision:
             return set()
     listing.missing_since_ms.pop(key, None)
     if not record.upstream.leaving:
@@ -142,7 +144,10 @@
 
 
 def record_removal(listing: Listing, now_ms: int, key: str) -> set[str]:
-    """Take in that an entry is gone; return the services concerned."""
+    """Record that an entry is missing; return the affected services.
+
+    An upstream that had announced that it was leaving is removed immediately.
+    """
     if key not in listing.proxies and key not in listing.upstreams:
         return set()
     if key in listing.leaving_since_ms:
@@ -163,7 +168,10 @@
 def reconcile(
     listing: Listing, now_ms: int, present: collections.abc.Container[str]
 ) -> set[str]:
-    """Compare with a complete list; what it lacks is missing."""
+    """Compare with a complete list; return the affected services.
+
+    Entries that are not in `present` are recorded as missing.
+    """
     services: set[str] = set()
     for key in [*listing.upstreams, *listing.proxies]:
         if key not in present:
@@ -172,19 +180,19 @@
 
 
 def remove_expired(
-    listing: Listing, now_ms: int, away_since_ms: int | None
+    listing: Listing, now_ms: int, unavailable_since_ms: int | None
 ) -> set:
-    """Remove what has been missing for too long; return the services.
+    """Remove entries missing for too long; return the affected services.
 
-    Nothing is removed while the service that lists is away.
+    Nothing is removed while the service that holds the list is unavailable.
     """
     services: set[str] = set()
-    if away_since_ms is not None:
+    if unavailable_since_ms is not None:
         return services
     for key, since_ms in list(listing.missing_since_ms.items()):
         is_proxy = key in listing.proxies
-        kept_ms = PROXY_GRACE_MS if is_proxy else UPSTREAM_GRACE_MS
-        if now_ms - since_ms >= kept_ms:
+        grace_ms = PROXY_GRACE_MS if is_proxy else UPSTREAM_GRACE_MS
+        if now_ms - since_ms >= grace_ms:
             services |= _remove(listing, key)
     return services
 
@@ -192,7 +200,7 @@
 def upstreams_of(
     listing: Listing, now_ms: int, service: str
 ) -> tuple[messages.Listed, ...]:
-    """Return a service's upstreams."""
+    """Return a service's upstreams and for how long they have been leaving."""
     found = []
     for key, record in listing.upstreams.items():
         if record.service != service:
@@ -210,15 +218,15 @@
 def proxies_of(
     listing: Listing, name: str, data_centre: str
 ) -> list[ownership.Proxy]:
-    """Return the live proxies; this one is among them, listed or not."""
-    found = {name: ownership.Proxy(name, data_centre)}
+    """Return the live proxies, including this one even if it is not listed."""
+    proxies = {name: ownership.Proxy(name, data_centre)}
     for record in listing.proxies.values():
-        found[record.name] = ownership.Proxy(record.name, record.data_centre)
-    return [found[each] for each in sorted(found)]
+        proxies[record.name] = ownership.Proxy(record.name, record.data_centre)
+    return [proxies[each] for each in sorted(proxies)]
 
 
 def hop_addresses(listing: Listing) -> dict[str, str]:
-    """Return where the live proxies take requests of others."""
+    """Return the addresses at which live proxies accept forwarded requests."""
     return {
         record.name: record.hop_address for record in listing.proxies.values()
     }
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -1,4 +1,4 @@
-"""Take in which upstreams a group has, and let go of those that leave."""
+"""Track a group's listed upstreams, and release those that leave."""
 
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
@@ -10,61 +10,67 @@
 
 __all__ = ['close_leaving_connections', 'handle_upstream_list']
 
-# Of the time that a leaving primary may still be given work, this part is
-# used; its replacement has to be done by then. The rest covers a list that
-# was late and requests under way.
+# Share of the time in which a leaving primary may still be given work that is
+# actually used; its replacement has to be completed by then. The rest covers a
+# late list and requests in progress.
 DRAIN_SHARE = 0.6
 
 
 def handle_upstream_list(
     state: states.GroupState, now_ms: int, message: messages.UpstreamsSeen
 ) -> list:
-    """Take in the whole list of the group's upstreams."""
+    """Process the complete list of the group's upstreams."""
     outs: list = []
     listed = {entry.name: entry for entry in message.upstreams}
     for name in list(state.upstreams):
         if name not in listed:
-            outs += _gone(state, now_ms, name)
+            outs += _remove_upstream(state, now_ms, name)
     if not state.listed_ms:
         state.listed_ms = now_ms
     for entry in message.upstreams:
         known = state.upstreams.get(entry.name)
         if known is not None and entry.born_ms > known.born_ms:
-            outs += _gone(state, now_ms, entry.name, for_good=True)
+            outs += _remove_upstream(
+                state, now_ms, entry.name, is_recreated=True
+            )
             known = None
             if state.primary == entry.name:
-                # The list may name its successor.
+                # The list may name the new primary.
                 state.primary = ''
                 state.primary_lost_ms = now_ms
         if known is None:
-            outs += _come(state, now_ms, entry)
+            outs += _add_upstream(state, now_ms, entry)
         else:
-            outs += _changed(state, now_ms, known, entry)
+            outs += _update_upstream(state, now_ms, known, entry)
     return outs
 
 
-def _gone(
-    state: states.GroupState, now_ms: int, name: str, for_good: bool = False
+def _remove_upstream(
+    state: states.GroupState,
+    now_ms: int,
+    name: str,
+    is_recreated: bool = False,
 ) -> list:
-    """Let go of an upstream that is listed no more, or began again.
+    """Remove an upstream that is no longer listed, or was recreated.
 
-    One that began again under its name holds nothing of what it confirmed,
-    and its connections and places are another's. One would notice by an
-    acknowledged write that is gone after the next promotion.
+    An upstream that was recreated under the same name holds none of the
+    writes that it had confirmed, and the recorded connections and log
+    positions are those of its predecessor. If they were kept, an acknowledged
+    write could be missing after the next promotion.
     """
     upstream = state.upstreams.pop(name)
     if proofs.contests(state, upstream):
-        # Perhaps only its own log told of its term.
+        # Its own log may have been the only evidence of its term.
         confirmations.lose_successor(state, now_ms)
-    paused_at = None
+    paused_log_end = None
     if state.promotion is not None:
-        paused_at = attempts.paused_log_end(state.promotion, now_ms, name)
+        paused_log_end = attempts.paused_log_end(state.promotion, now_ms, name)
         attempts.forget_member(state.promotion, name)
     state.departures.add(
         now_ms,
         name,
-        upstream.leaving or for_good,
-        paused_at,
+        upstream.leaving or is_recreated,
+        paused_log_end,
         upstream.born_ms,
     )
     state.paused.discard(name)
@@ -73,7 +79,7 @@
     return outs
 
 
-def _come(
+def _add_upstream(
     state: states.GroupState, now_ms: int, entry: messages.Listed
 ) -> list:
     upstream = states.Upstream(
@@ -85,12 +91,12 @@
         entry.born_ms,
     )
     upstream.come_ms = now_ms
-    # The first list names those that were there before this process.
+    # The first list names the upstreams that existed before this process.
     upstream.vouches = now_ms == state.listed_ms
     upstream.began_again = state.departures.has_departed(entry.name)
     state.upstreams[entry.name] = upstream
     state.departures.remove(entry.name, entry.born_ms)
-    _note_leaving(state, now_ms, upstream, entry)
+    _record_leaving(state, now_ms, upstream, entry)
     return [
         messages.Decided(
             'upstream come',
@@ -104,7 +110,7 @@
     ]
 
 
-def _changed(
+def _update_upstream(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
@@ -114,10 +120,10 @@
     if entry.address != upstream.address:
         upstream.address = entry.address
         outs += connections.close_idle(state, entry.name)
-    newer = entry.revision > upstream.listed_revision
-    if newer and entry.role is not upstream.listed_role:
-        # It sees itself in another part now: what it refused before that
-        # no longer speaks against it.
+    is_newer = entry.revision > upstream.listed_revision
+    if is_newer and entry.role is not upstream.listed_role:
+        # The upstream now reports another role, so its earlier refusals no
+        # longer refute its claim to lead.
         upstream.listed_role = entry.role
         upstream.listed_revision = entry.revision
         if entry.role is statements.Role.PRIMARY:
@@ -125,7 +131,7 @@
             upstream.claimed_ms = now_ms
         outs.append(
             messages.Decided(
-                'upstream changed part',
+                'upstream changed role',
                 inputs={
                     'upstream': entry.name,
                     'role': str(entry.role),
@@ -134,7 +140,7 @@
             )
         )
     if entry.leaving != upstream.leaving:
-        _note_leaving(state, now_ms, upstream, entry)
+        _record_leaving(state, now_ms, upstream, entry)
         outs.append(
             messages.Decided(
                 'upstream leaves' if entry.leaving else 'upstream stays',
@@ -147,7 +153,7 @@
     return outs
 
 
-def _note_leaving(
+def _record_leaving(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
@@ -159,20 +165,20 @@
         return
     upstream.closed_to_work_ms = now_ms
     if entry.role is statements.Role.PRIMARY or state.primary == entry.name:
-        left_ms = state.limits.drain_ms * DRAIN_SHARE
+        drain_ms = state.limits.drain_ms * DRAIN_SHARE
         upstream.closed_to_work_ms += max(
-            0, int(left_ms) - entry.leaving_for_ms
+            0, int(drain_ms) - entry.leaving_for_ms
         )
 
 
 def close_leaving_connections(state: states.GroupState, now_ms: int) -> list:
-    """Close idle connections to those that get no new work."""
+    """Close idle connections to leaving upstreams closed to new work."""
     outs: list = []
     for upstream in state.upstreams.values():
         if not states.is_closed_to_work(upstream, now_ms):
             continue
         if state.promotion is not None and upstream.name != state.primary:
-            # It may hold what has to be asked for.
+            # The promotion may have to query its log.
             continue
         outs += connections.close_idle(state, upstream.name)
     return outs
