--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 from topazring.core import places
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -115,7 +115,7 @@
     awaited because its start may take seconds.
     """
     names = required_members(state, attempt)
-    if attempt.old_primary not in names and evidence.began_again(
+    if attempt.old_primary not in names and failure_detection.is_recreated(
         state, attempt.old_primary
     ):
         names.append(attempt.old_primary)
@@ -193,7 +193,9 @@
     If so, writes are being confirmed and only replies are missing: a reply
     was lost, or replicas apply late what they receive immediately.
     """
-    earlier = freshness.position_at(state, now_ms - evidence.STANDING_MS)
+    earlier = freshness.position_at(
+        state, now_ms - failure_detection.REPLICATION_STALLED_MS
+    )
     if earlier is None:
         return False
     return any(
@@ -240,7 +242,7 @@
     if not reporting or silent:
         return ''
     lost = attempt.old_primary
-    if evidence.began_again(state, lost):
+    if failure_detection.is_recreated(state, lost):
         if lost not in reporting and has_fresh_report(attempt, now_ms, lost):
             reporting.append(lost)
         lost = ''
@@ -305,7 +307,7 @@
     )
     for name in primaries:
         report = attempt.reports.get(name)
-        if report is None or evidence.began_again(state, name):
+        if report is None or failure_detection.is_recreated(state, name):
             continue
         if position >= report.received:
             return True
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -59,9 +59,9 @@
     write could be missing after the next promotion.
     """
     upstream = state.upstreams.pop(name)
-    if proofs.contests(state, upstream):
+    if proofs.contests_leadership(state, upstream):
         # Its own log may have been the only evidence of its term.
-        confirmations.lose_successor(state, now_ms)
+        confirmations.note_successor_gone(state, now_ms)
     paused_log_end = None
     if state.promotion is not None:
         paused_log_end = attempts.paused_log_end(state.promotion, now_ms, name)
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -22,12 +22,12 @@
 proxies have seen may also hold such a write.
 """
 
-from topazring.core.synchronous import asking
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import promotion_commands
 from topazring.core.synchronous import promotion_end
 from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import promotion_order
@@ -57,7 +57,7 @@
         return _yield_lease(state)
     if now_ms < state.next_promotion_ms:
         return []
-    loss = evidence.judge(state, now_ms)
+    loss = failure_detection.detect_loss(state, now_ms)
     if loss is not None:
         return _begin_attempt(state, now_ms, loss.upstream, loss.why, loss)
     primary = state.upstreams.get(state.primary)
@@ -68,7 +68,7 @@
             return _begin_attempt(
                 state, now_ms, primary.name, why, None, successor
             )
-    return asking.resume(state, now_ms)
+    return promotion_commands.resume_paused(state, now_ms)
 
 
 def _yield_lease(state: states.GroupState) -> list:
@@ -98,7 +98,7 @@
     reachable = [
         upstream
         for upstream in staying
-        if not proofs.is_unreached(state, now_ms, upstream)
+        if not proofs.is_unreachable(state, now_ms, upstream)
     ]
     longest = max(
         reachable or staying, key=lambda u: (u.place, u.vouches, u.name)
@@ -111,7 +111,7 @@
     now_ms: int,
     old_primary: str,
     why: str,
-    loss: evidence.Loss | None,
+    loss: failure_detection.Loss | None,
     successor: str = '',
 ) -> list:
     state.token += 1
@@ -154,7 +154,7 @@
     if attempt.chosen:
         return _keep_paused(state, now_ms, attempt)
     outs = promotion_order.request_list(now_ms, attempt)
-    outs += asking.ask(state, now_ms, attempt)
+    outs += promotion_commands.send_commands(state, now_ms, attempt)
     chosen = attempts.choose_primary(state, now_ms, attempt)
     if not chosen:
         return outs
@@ -204,7 +204,7 @@
         return promotion_end.finish(state, now_ms, attempt, 'overtaken')
     outs = promotion_order.resend_order(state, now_ms, attempt)
     if not attempt.unconfirmed:
-        outs += asking.ask(state, now_ms, attempt)
+        outs += promotion_commands.send_commands(state, now_ms, attempt)
     return outs
 
 
@@ -240,7 +240,7 @@
         'since_ms': now_ms - attempt.since_ms,
     }
     decided = messages.Decided('promotion begins', inputs=inputs)
-    return [decided, *asking.ask(state, now_ms, attempt)]
+    return [decided, *promotion_commands.send_commands(state, now_ms, attempt)]
 
 
 def _end_if_finished(
@@ -280,12 +280,18 @@
         )
     old_primary = state.upstreams.get(attempt.old_primary)
     if attempt.is_query_only and old_primary is not None:
-        if evidence.silent(state, now_ms, old_primary) is not None:
+        if (
+            failure_detection.detect_silence(state, now_ms, old_primary)
+            is not None
+        ):
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
     if attempt.successor:
-        if old_primary is None or evidence.judge(state, now_ms) is not None:
+        if (
+            old_primary is None
+            or failure_detection.detect_loss(state, now_ms) is not None
+        ):
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
@@ -314,7 +320,7 @@
     empty. The next attempt replaces the old primary even if it has returned.
     """
     if attempt.chosen:
-        confirmations.lose_successor(state, now_ms)
+        confirmations.note_successor_gone(state, now_ms)
     return promotion_end.finish(state, now_ms, attempt, 'lost meanwhile')
 
 
@@ -337,7 +343,10 @@
             attempts.forget_reports(attempt)
             inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
             decided = messages.Decided('hand-over blocked', inputs=inputs)
-            return [decided, *asking.ask(state, now_ms, attempt)]
+            return [
+                decided,
+                *promotion_commands.send_commands(state, now_ms, attempt),
+            ]
         return None
     if now_ms - attempt.demoting_since_ms < CHOICE_TIMEOUT_MS:
         return None
