--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -285,7 +285,7 @@
     Reaching the logs of the paused replicas is not enough until they have
     followed the leaving primary.
     """
-    start = state.start
+    start = state.primary_start
     if start.upstream == state.primary and position < start.place:
         return False
     return position >= state.acknowledged
@@ -303,7 +303,7 @@
     reaches its end is complete, whichever members departed.
     """
     primaries = frozenset(
-        {attempt.old_primary, state.proven, state.last_primary}
+        {attempt.old_primary, state.proven_primary, state.last_primary}
     )
     for name in primaries:
         report = attempt.reports.get(name)
@@ -311,7 +311,7 @@
             continue
         if position >= report.received:
             return True
-    return not state.departures.may_exceed(now_ms, position, primaries)
+    return not state.departed_members.may_exceed(now_ms, position, primaries)
 
 
 def _may_hold_exclusively(
@@ -327,7 +327,7 @@
     report = attempt.reports.get(attempt.old_primary)
     if report is None or highest >= report.received:
         return False
-    start = state.start
+    start = state.primary_start
     if start.upstream == attempt.old_primary and highest >= start.place:
         return False
     return highest.log_term < report.term
@@ -339,7 +339,7 @@
     old_primary = state.upstreams.get(attempt.old_primary)
     if attempt.unconfirmed or old_primary is None:
         return minimum
-    acknowledged_ms = old_primary.heard_ms - ASSUME_ACKNOWLEDGED_MS
+    acknowledged_ms = old_primary.last_received_ms - ASSUME_ACKNOWLEDGED_MS
     for sample in state.samples:
         if sample.sent_ms <= acknowledged_ms:
             minimum = max(minimum, sample.place)
--- a/topazring/core/synchronous/concurrency_limit.py
+++ b/topazring/core/synchronous/concurrency_limit.py
@@ -50,19 +50,19 @@
 
 def start_hold(connection: states.Connection, now_ms: int) -> None:
     """Record that a connection was assigned to a request from the queue."""
-    connection.taken_ms = now_ms
+    connection.checked_out_ms = now_ms
 
 
 def end_hold(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> None:
     """Update the hold time estimate once a request releases a connection."""
-    taken_ms, connection.taken_ms = connection.taken_ms, None
+    taken_ms, connection.checked_out_ms = connection.checked_out_ms, None
     upstream = state.upstreams.get(connection.upstream)
     if taken_ms is None or upstream is None:
         return
     hold_time_ms = now_ms - taken_ms
-    upstream.kept_ms += (hold_time_ms - upstream.kept_ms) * HOLD_TIME_WEIGHT
+    upstream.hold_ms += (hold_time_ms - upstream.hold_ms) * HOLD_TIME_WEIGHT
 
 
 def expected_wait_ms(
@@ -87,8 +87,8 @@
         connection.phase is not states.Phase.OPENING
         for connection in states.connections_to(state, upstream.name)
     )
-    by_hold_time = connected / max(1.0, upstream.kept_ms)
-    by_limit = min(connected, upstream.most_busy) / max(
+    by_hold_time = connected / max(1.0, upstream.hold_ms)
+    by_limit = min(connected, upstream.concurrency_limit) / max(
         1.0, upstream.service_ms
     )
     return min(by_hold_time, by_limit)
@@ -102,25 +102,28 @@
     ordered by priority, to the upstream's queue, which is not, and in which
     each statement of a transaction waits again.
     """
-    if upstream.service_ms < upstream.quick_ms:
-        upstream.quick_ms = upstream.service_ms
+    if upstream.service_ms < upstream.unqueued_service_ms:
+        upstream.unqueued_service_ms = upstream.service_ms
     else:
-        slower_ms = upstream.service_ms - upstream.quick_ms
-        upstream.quick_ms += slower_ms * BASELINE_WEIGHT
+        slower_ms = upstream.service_ms - upstream.unqueued_service_ms
+        upstream.unqueued_service_ms += slower_ms * BASELINE_WEIGHT
     max_limit = float(max(1, state.connection_share))
-    if upstream.service_ms > QUEUED_FACTOR * upstream.quick_ms:
-        upstream.most_busy = max(
-            1.0, min(max_limit, upstream.most_busy) * DECREASE_FACTOR
+    if upstream.service_ms > QUEUED_FACTOR * upstream.unqueued_service_ms:
+        upstream.concurrency_limit = max(
+            1.0, min(max_limit, upstream.concurrency_limit) * DECREASE_FACTOR
         )
     else:
-        upstream.most_busy = min(max_limit, upstream.most_busy + INCREASE_STEP)
+        upstream.concurrency_limit = min(
+            max_limit, upstream.concurrency_limit + INCREASE_STEP
+        )
 
 
 def reduce_limit(state: states.GroupState, upstream: states.Upstream) -> None:
     """Lower the concurrency limit of an upstream whose queue is full."""
     max_limit = float(max(1, state.connection_share))
-    upstream.most_busy = max(
-        1.0, min(max_limit, upstream.most_busy) * REFUSED_DECREASE_FACTOR
+    upstream.concurrency_limit = max(
+        1.0,
+        min(max_limit, upstream.concurrency_limit) * REFUSED_DECREASE_FACTOR,
     )
 
 
@@ -139,7 +142,7 @@
         and connection.sent_ms >= late_ms
         for connection in states.connections_to(state, upstream.name)
     )
-    return busy < round(upstream.most_busy)
+    return busy < round(upstream.concurrency_limit)
 
 
 def late_after_ms(upstream: states.Upstream) -> float:
--- a/topazring/core/synchronous/listing.py
+++ b/topazring/core/synchronous/listing.py
@@ -51,7 +51,7 @@
     """An upstream's own entry and the service that it belongs to."""
 
     service: str
-    upstream: messages.Listed
+    upstream: messages.ListedUpstream
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -199,7 +199,7 @@
 
 def upstreams_of(
     listing: Listing, now_ms: int, service: str
-) -> tuple[messages.Listed, ...]:
+) -> tuple[messages.ListedUpstream, ...]:
     """Return a service's upstreams and for how long they have been leaving."""
     found = []
     for key, record in listing.upstreams.items():
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -66,7 +66,7 @@
     if state.promotion is not None:
         paused_log_end = attempts.paused_log_end(state.promotion, now_ms, name)
         attempts.forget_member(state.promotion, name)
-    state.departures.add(
+    state.departed_members.add(
         now_ms,
         name,
         upstream.leaving or is_recreated,
@@ -74,13 +74,15 @@
         upstream.born_ms,
     )
     state.paused.discard(name)
-    outs: list = [messages.Decided('upstream gone', inputs={'upstream': name})]
+    outs: list = [
+        messages.LogDecision('upstream gone', inputs={'upstream': name})
+    ]
     outs += connections.close_idle(state, name)
     return outs
 
 
 def _add_upstream(
-    state: states.GroupState, now_ms: int, entry: messages.Listed
+    state: states.GroupState, now_ms: int, entry: messages.ListedUpstream
 ) -> list:
     upstream = states.Upstream(
         entry.name,
@@ -90,15 +92,15 @@
         entry.revision,
         entry.born_ms,
     )
-    upstream.come_ms = now_ms
+    upstream.first_listed_ms = now_ms
     # The first list names the upstreams that existed before this process.
-    upstream.vouches = now_ms == state.listed_ms
-    upstream.began_again = state.departures.has_departed(entry.name)
+    upstream.is_established = now_ms == state.listed_ms
+    upstream.is_recreated = state.departed_members.has_departed(entry.name)
     state.upstreams[entry.name] = upstream
-    state.departures.remove(entry.name, entry.born_ms)
+    state.departed_members.remove(entry.name, entry.born_ms)
     _record_leaving(state, now_ms, upstream, entry)
     return [
-        messages.Decided(
+        messages.LogDecision(
             'upstream come',
             inputs={
                 'upstream': entry.name,
@@ -114,7 +116,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    entry: messages.Listed,
+    entry: messages.ListedUpstream,
 ) -> list:
     outs: list = []
     if entry.address != upstream.address:
@@ -130,7 +132,7 @@
             upstream.refuted_ms = None
             upstream.claimed_ms = now_ms
         outs.append(
-            messages.Decided(
+            messages.LogDecision(
                 'upstream changed role',
                 inputs={
                     'upstream': entry.name,
@@ -142,7 +144,7 @@
     if entry.leaving != upstream.leaving:
         _record_leaving(state, now_ms, upstream, entry)
         outs.append(
-            messages.Decided(
+            messages.LogDecision(
                 'upstream leaves' if entry.leaving else 'upstream stays',
                 inputs={
                     'upstream': entry.name,
@@ -157,7 +159,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    entry: messages.Listed,
+    entry: messages.ListedUpstream,
 ) -> None:
     upstream.leaving = entry.leaving
     if not entry.leaving:
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -25,8 +25,8 @@
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import promotion_commands
 from topazring.core.synchronous import promotion_end
 from topazring.core.synchronous import promotion_lease
@@ -48,7 +48,7 @@
 
 def tick(state: states.GroupState, now_ms: int) -> list:
     """Start, continue or end an attempt; resume paused members."""
-    if not state.holds_duty:
+    if not state.holds_promotion_lease:
         return []
     attempt = state.promotion
     if attempt is not None:
@@ -73,13 +73,13 @@
 
 def _yield_lease(state: states.GroupState) -> list:
     """Yield the promotion lease to the proxy that paused the members."""
-    state.holds_duty = False
+    state.holds_promotion_lease = False
     state.promotion = None
     state.counters['promotion_left_to_another'] += 1
     held_terms = {u.name: u.held_term for u in state.upstreams.values()}
     inputs = {'term': state.term, 'held_terms': held_terms}
-    decided = messages.Decided('another promotes', inputs=inputs)
-    return [decided, messages.YieldDuty('another promotes')]
+    decided = messages.LogDecision('another promotes', inputs=inputs)
+    return [decided, messages.YieldPromotionLease('another promotes')]
 
 
 def _choose_successor(state: states.GroupState, now_ms: int) -> str:
@@ -101,7 +101,7 @@
         if not proofs.is_unreachable(state, now_ms, upstream)
     ]
     longest = max(
-        reachable or staying, key=lambda u: (u.place, u.vouches, u.name)
+        reachable or staying, key=lambda u: (u.place, u.is_established, u.name)
     )
     return longest.name
 
@@ -127,7 +127,7 @@
         'promotion considered' if attempt.is_query_only else 'promotion begins'
     )
     state.counters[event.replace(' ', '_')] += 1
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         event,
         inputs={
             'old': old_primary,
@@ -176,7 +176,7 @@
 
 
 def handle_list_read(
-    state: states.GroupState, now_ms: int, message: messages.ListRead
+    state: states.GroupState, now_ms: int, message: messages.UpstreamListRead
 ) -> list:
     """Continue the attempt once the list of upstreams has been read."""
     attempt = state.promotion
@@ -239,7 +239,7 @@
         'token': attempt.token,
         'since_ms': now_ms - attempt.since_ms,
     }
-    decided = messages.Decided('promotion begins', inputs=inputs)
+    decided = messages.LogDecision('promotion begins', inputs=inputs)
     return [decided, *promotion_commands.send_commands(state, now_ms, attempt)]
 
 
@@ -256,7 +256,9 @@
         if primary == attempt.chosen != attempt.successor:
             # A successor received more entries after it was chosen, so the
             # chosen position is not where its term started.
-            state.start = known_places.Start(primary, attempt.chosen_position)
+            state.primary_start = position_records.PrimaryStart(
+                primary, attempt.chosen_position
+            )
         state.successor_gone = False
         return promotion_end.finish(state, now_ms, attempt, 'succeeded')
     if attempt.successor_gone:
@@ -302,7 +304,7 @@
                 state, now_ms, attempt, 'lost meanwhile'
             )
         return None
-    is_alive = old_primary.heard_ms > attempt.began_ms
+    is_alive = old_primary.last_received_ms > attempt.began_ms
     if attempt.unconfirmed:
         is_alive = old_primary.confirmed_ms > attempt.began_ms
     if is_alive and primary == attempt.old_primary:
@@ -342,7 +344,7 @@
             attempt.demoting_since_ms = now_ms
             attempts.forget_reports(attempt)
             inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
-            decided = messages.Decided('hand-over blocked', inputs=inputs)
+            decided = messages.LogDecision('hand-over blocked', inputs=inputs)
             return [
                 decided,
                 *promotion_commands.send_commands(state, now_ms, attempt),
--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -20,15 +20,15 @@
 
 
 def handle_lease_change(
-    state: states.GroupState, now_ms: int, message: messages.DutySeen
+    state: states.GroupState, now_ms: int, message: messages.PromotionLeaseSeen
 ) -> list:
     """Record whether this proxy holds the promotion lease, and its tokens.
 
     A previous holder that died may have left replicas paused, so the new
     holder resumes all members except the primary.
     """
-    is_gained = message.holds and not state.holds_duty
-    state.holds_duty = message.holds
+    is_gained = message.holds and not state.holds_promotion_lease
+    state.holds_promotion_lease = message.holds
     if message.holds:
         state.token = max(state.token, message.token)
     else:
@@ -36,7 +36,7 @@
     if is_gained:
         state.fence_token = 0
         state.paused = set(state.upstreams) - {state.primary}
-        state.unfenced = True
+        state.needs_fencing = True
     return []
 
 
@@ -51,7 +51,8 @@
     """
     return any(
         upstream.held_term > state.term
-        and now_ms - upstream.reported_sent_ms <= PAUSE_REPORT_MAX_AGE_MS
+        and now_ms - upstream.answered_status_sent_ms
+        <= PAUSE_REPORT_MAX_AGE_MS
         and upstream.name not in state.paused
         for upstream in state.upstreams.values()
     )
@@ -68,26 +69,30 @@
     old proof, it would reinstate a replaced primary without the writes that
     its successor acknowledged.
     """
-    is_needed = state.holds_duty and state.unfenced and state.promotion is None
+    is_needed = (
+        state.holds_promotion_lease
+        and state.needs_fencing
+        and state.promotion is None
+    )
     if not is_needed or state.fence_token:
         return []
     if now_ms - proofs.proven_until_ms(state) > PROOF_MAX_AGE_MS:
         return []
     primary = state.upstreams[state.primary]
-    if now_ms - primary.took_sent_ms > PROOF_MAX_AGE_MS:
+    if now_ms - primary.begin_accepted_sent_ms > PROOF_MAX_AGE_MS:
         return []
     state.token += 1
     state.fence_token = state.token
-    return [messages.Order(state.primary, state.token)]
+    return [messages.OrderPromotion(state.primary, state.token)]
 
 
 def handle_fence_result(
-    state: states.GroupState, message: messages.Ordered
+    state: states.GroupState, message: messages.PromotionOrdered
 ) -> list:
     """Process the reply to a fencing order."""
     state.fence_token = 0
     if message.result is messages.OrderResult.ACCEPTED:
-        state.unfenced = False
+        state.needs_fencing = False
     elif message.result is messages.OrderResult.REFUSED:
-        state.holds_duty = False
+        state.holds_promotion_lease = False
     return []
