--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import state as states
@@ -80,7 +80,7 @@
     list_read_ms: int | None = None
     chosen: str = ''
     # Where the chosen upstream's log ended when it was chosen.
-    chosen_position: places.Place = places.ORIGIN
+    chosen_position: log_positions.LogPosition = log_positions.ORIGIN
     ordered_ms: int = 0
     # The successor or chosen upstream is no longer listed, or was recreated.
     successor_gone: bool = False
@@ -163,7 +163,7 @@
 
 def paused_log_end(
     attempt: Attempt, now_ms: int, name: str
-) -> places.Place | None:
+) -> log_positions.LogPosition | None:
     """Return where a paused member's log ends.
 
     Return None if that is unknown: the successor keeps receiving, and a
@@ -248,9 +248,9 @@
         lost = ''
     positions = {name: attempt.reports[name].received for name in reporting}
     if attempt.demoting_since_ms is not None:
-        is_caught_up = positions.get(attempt.successor, places.ORIGIN) >= max(
-            positions.values()
-        )
+        is_caught_up = positions.get(
+            attempt.successor, log_positions.ORIGIN
+        ) >= max(positions.values())
         return attempt.successor if is_caught_up else ''
     if attempt.successor:
         position = positions[attempt.successor]
@@ -260,7 +260,7 @@
         is_complete = _is_complete(state, now_ms, attempt, position)
         return attempt.successor if is_caught_up and is_complete else ''
     others = {name: positions[name] for name in reporting if name != lost}
-    highest = max(others.values(), default=places.ORIGIN)
+    highest = max(others.values(), default=log_positions.ORIGIN)
     is_complete = _is_complete(state, now_ms, attempt, highest)
     is_enough = is_complete and highest >= _min_position(state, attempt)
     if (
@@ -278,7 +278,7 @@
 
 
 def _holds_known_writes(
-    state: states.GroupState, position: places.Place
+    state: states.GroupState, position: log_positions.LogPosition
 ) -> bool:
     """Return whether a log reaches what a leaving primary is known to hold.
 
@@ -295,7 +295,7 @@
     state: states.GroupState,
     now_ms: int,
     attempt: Attempt,
-    position: places.Place,
+    position: log_positions.LogPosition,
 ) -> bool:
     """Return whether no departed member can have confirmed a later position.
 
@@ -315,7 +315,9 @@
 
 
 def _may_hold_exclusively(
-    state: states.GroupState, attempt: Attempt, highest: places.Place
+    state: states.GroupState,
+    attempt: Attempt,
+    highest: log_positions.LogPosition,
 ) -> bool:
     """Return whether only a demoted primary may hold its initial entries.
 
@@ -333,7 +335,9 @@
     return highest.log_term < report.term
 
 
-def _min_position(state: states.GroupState, attempt: Attempt) -> places.Place:
+def _min_position(
+    state: states.GroupState, attempt: Attempt
+) -> log_positions.LogPosition:
     """Return the log position that the new primary must at least hold."""
     minimum = state.acknowledged
     old_primary = state.upstreams.get(attempt.old_primary)
--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -27,7 +27,7 @@
 learns of that.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
@@ -284,7 +284,7 @@
 
 
 def note_log_position(
-    upstream: states.Upstream, sent_ms: int, place: places.Place
+    upstream: states.Upstream, sent_ms: int, place: log_positions.LogPosition
 ) -> None:
     """Take in what a member has applied, asked at a time.
 
--- a/topazring/core/synchronous/request_queues.py
+++ b/topazring/core/synchronous/request_queues.py
@@ -97,5 +97,5 @@
         if priority < policy.priority:
             ahead += admission.size(queue)
         elif priority == policy.priority:
-            ahead += admission.ahead_of(queue, policy.database)
+            ahead += admission.count_ahead(queue, policy.database)
     return ahead
