--- a/topazring/core/synchronous/tests/test_concurrency_limit.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Estimate waits from what may serve; keep queues at upstreams short."""
+"""Test wait estimates and the concurrency limits of upstreams."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 
 
 def late_replicas(share: int = 2) -> support.Driver:
-    """Reach a group whose replicas lack what its primary held long ago."""
+    """Return a group whose replicas lack an old log position."""
     driver = support.Driver(share).ready()
     for name in ('u2', 'u3'):
         upstream = driver.state.upstreams[name]
@@ -28,17 +28,16 @@
 
 
 class WaitTest(testtools.TestCase):
-    """Pattern: a line that only some of the upstreams can serve."""
+    """A queue that only some of the upstreams can serve."""
 
     def test_idle_replicas_that_are_late_do_not_count(self):
-        """A read behind many is refused, however idle they are.
-
-        Symptom: 85 reads wait for their whole time beside idle replicas, and
-        none is refused. Sequence: both replicas apply seconds late; a read
-        that comes is expected to be served within 100 ms by three upstreams;
-        one serves it, if at all, after a second. Cause: counting upstreams
-        that lack the place. Proof: lines of the log that show waiting reads,
-        idle connections to replicas, and "lacks".
+        """A read behind many others is refused even if replicas are idle.
+
+        Guards against reads (85 in one run) that wait until their deadline
+        while replicas are idle, with none refused: both replicas apply
+        entries seconds late. A new read is expected to be served by three
+        upstreams within 100 ms, but one upstream serves it after a second, if
+        at all. Upstreams that lack the log position must not be counted.
         """
         driver = late_replicas()
         driver.state.upstreams['u1'].service_ms = 100.0
@@ -53,19 +52,19 @@
             self.assertGreater(refusal.retry_after_ms, 0)
 
     def test_replicas_that_may_serve_count(self):
-        """The same reads are let in where replicas keep up."""
+        """The same reads are accepted if the replicas keep up."""
         driver = support.Driver().ready()
         for _ in range(9):
             _, outs = driver.submit(support.BOUNDED)
             self.assertEqual({}, support.answers(outs))
 
-    def test_transactions_keep_connections(self):
-        """A line moves no faster than connections come free.
+    def test_transactions_hold_connections(self):
+        """A queue moves no faster than connections are released.
 
-        Symptom: saves wait for their whole time at one owner. Sequence:
-        transactions whose callers pause keep both connections for half a
-        second each; a statement itself takes 15 ms. Cause: estimating the
-        wait from how long statements take.
+        Guards against writes that wait until their deadline at one owner:
+        transactions whose callers pause hold both connections for half a
+        second each, while a statement takes 15 ms. The wait must not be
+        estimated from the duration of statements alone.
         """
         driver = support.Driver().ready()
         driver.state.upstreams['u1'].hold_ms = 500.0
@@ -76,8 +75,8 @@
         refusal = support.answers(outs)[key]
         self.assertEqual(Reason.OVERLOAD, refusal.reason)
 
-    def test_whole_transaction_is_learned(self):
-        """A connection counts as kept until it is free again."""
+    def test_hold_time_covers_whole_transactions(self):
+        """The hold time of a connection includes the whole transaction."""
         driver = support.Driver().ready()
         upstream = driver.state.upstreams['u1']
         driver.submit(support.EXACT, Verb.WRITE, transaction=7, begins=True)
@@ -91,7 +90,7 @@
         driver.reply(connection, support.ok('signed'))
         self.assertGreater(upstream.hold_ms, before_ms + 50)
 
-    def test_first_in_line_is_never_refused(self):
+    def test_first_in_queue_is_never_refused(self):
         """Otherwise connections would be idle between two requests."""
         driver = support.Driver().ready()
         driver.state.upstreams['u1'].hold_ms = 5000.0
@@ -100,18 +99,18 @@
             self.assertEqual({}, support.answers(outs))
 
 
-class RoomTest(testtools.TestCase):
-    """Pattern: many owners before an upstream whose slots are full.
+class ConcurrencyLimitTest(testtools.TestCase):
+    """Many owners share an upstream whose slots are full.
 
-    Symptom: a save of a few ms takes 130 ms, a transaction half a second.
-    Sequence: eight owners have all their connections at work at an upstream
-    with three slots; its queue takes all in the order in which they come.
-    Cause: a connection that is free was reason enough to use it. Proof: 26
-    connections at work, and statements of 85 to 140 ms instead of 15.
+    Guards against writes of a few ms that take 130 ms, and transactions that
+    take half a second: eight owners use all their connections to an upstream
+    with three slots, and its queue serves statements in order of arrival. In
+    one run 26 connections were busy and statements took 85 to 140 ms instead
+    of 15. A free connection must not be used just because it is free.
     """
 
-    def slowed(self, answers: int, service_ms: float) -> states.GroupState:
-        """Have an upstream answer some times, each time as slowly."""
+    def slow_down(self, answers: int, service_ms: float) -> states.GroupState:
+        """Return the state after some replies with this service time."""
         state = support.Driver(share=4).ready().state
         upstream = state.upstreams['u1']
         for _ in range(answers):
@@ -119,9 +118,9 @@
             concurrency_limit.adjust_limit(state, upstream)
         return state
 
-    def test_less_at_work_where_statements_queue(self):
-        """Down to one, never to none."""
-        state = self.slowed(40, 130.0)
+    def test_limit_decreases_while_statements_queue(self):
+        """The limit decreases to one, but never to zero."""
+        state = self.slow_down(40, 130.0)
         self.assertEqual(1, round(state.upstreams['u1'].concurrency_limit))
         self.assertTrue(
             concurrency_limit.has_capacity(
@@ -129,22 +128,22 @@
             )
         )
 
-    def test_more_again_once_it_is_quick(self):
-        """Within some sixty quick answers all may be at work."""
-        state = self.slowed(40, 130.0)
+    def test_limit_increases_once_statements_are_quick(self):
+        """After about sixty quick replies all connections may be busy."""
+        state = self.slow_down(40, 130.0)
         upstream = state.upstreams['u1']
         for _ in range(60):
             upstream.service_ms = 15.0
             concurrency_limit.adjust_limit(state, upstream)
         self.assertEqual(4, round(upstream.concurrency_limit))
 
-    def test_slow_by_nature_is_no_queue(self):
-        """Statements that always take long are the upstream's quick time."""
-        state = self.slowed(3000, 130.0)
+    def test_constantly_slow_statements_are_no_queue(self):
+        """Statements that always take long set the time without queueing."""
+        state = self.slow_down(3000, 130.0)
         self.assertEqual(4, round(state.upstreams['u1'].concurrency_limit))
 
-    def test_urgent_goes_next(self):
-        """The line is here, so it is served in the order of priorities."""
+    def test_highest_priority_goes_next(self):
+        """The queue is local, so it is served in order of priority."""
         driver = support.Driver(share=2).ready()
         driver.state.upstreams['u1'].concurrency_limit = 1.0
         low = dataclasses.replace(support.EXACT, priority=2)
@@ -155,13 +154,14 @@
         driver.reply(running, support.ok('signed'))
         self.assertEqual([key], [c.work for c in driver.busy('u1') if c.work])
 
-    def test_lost_answer_takes_no_room(self):
-        """A connection that waits for an answer that is lost is not at work.
+    def test_lost_reply_takes_no_capacity(self):
+        """A connection that waits for a lost reply does not count as busy.
 
-        Symptom: an owner sends nothing to an idle primary for 1.5 s at a
-        time. Sequence: statements queue, so one connection is to be at work;
-        its answer is lost on the way. Cause: counting it as at work for as
-        long as its answer is waited for. Proof: read in the code.
+        Guards against an owner that sends nothing to an idle primary for 1.5
+        s at a time: statements queue, so the concurrency limit is one, and
+        the reply on that connection is lost. The connection must not count as
+        busy for as long as its reply is awaited. The fault was found by
+        reading the code.
         """
         driver = support.Driver(share=2).ready()
         driver.state.upstreams['u1'].concurrency_limit = 1.0
@@ -174,13 +174,13 @@
         (running,) = [c for c in driver.busy('u1') if c.work == key]
         self.assertNotEqual(lost.number, running.number)
 
-    def test_full_replica_is_left_alone_for_a_moment(self):
-        """It has room again after about one statement.
+    def test_full_replica_is_not_retried_immediately(self):
+        """It has capacity again after about one statement.
 
-        Symptom: one read is sent 209 times in 60 ms to a replica that refuses
-        it each time. Sequence: all others lack the place that the read has to
-        see; the replica's queue is full, and it is near. Cause: a replica that
-        was full ranked lower, but the only one was asked again at once.
+        Guards against sending one read 209 times in 60 ms to a replica that
+        refuses it each time: all other upstreams lack the log position that
+        the read needs, and the queue of the nearby replica is full. A full
+        replica ranked lower, but the only candidate was retried immediately.
         """
         driver = support.Driver().ready(centres={'u1': 'there'})
         key, _ = driver.submit(support.BOUNDED)
--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -1,4 +1,4 @@
-"""Acknowledge nothing at a primary whose successor has been named."""
+"""Test that a primary with a listed successor acknowledges no writes."""
 
 import testtools
 
@@ -14,7 +14,7 @@
 
 
 def write(driver: support.Driver, *names: str) -> outcomes.Outcome | None:
-    """Have `u1` confirm a write; these others answer, and hold it."""
+    """Have `u1` confirm a write while the named replicas report holding it."""
     held = Place(1, 6)
     key, _ = driver.submit(verb=WRITE)
     work = driver.state.work.get(key)
@@ -25,51 +25,48 @@
 
 
 class ContestedTest(testtools.TestCase):
-    """The list names a successor that has not been heard."""
+    """The list names a successor that has not replied yet."""
 
-    def contested(self, holds_duty: bool = False) -> support.Driver:
-        """Have the list name `u2`, while `u1` goes on."""
+    def list_successor(self, holds_lease: bool = False) -> support.Driver:
+        """List `u2` as primary while `u1` continues."""
         driver = (
             failover_support.make_lease_holder()
-            if holds_duty
+            if holds_lease
             else support.Driver().ready()
         )
         driver.list_upstreams(primary='u2', revision=2)
         return driver
 
-    def born_again(self, holds_duty: bool = False) -> support.Driver:
-        """Have the successor begin again, empty."""
-        driver = self.contested(holds_duty)
+    def recreate_successor(self, holds_lease: bool = False) -> support.Driver:
+        """Recreate the successor, which is then empty."""
+        driver = self.list_successor(holds_lease)
         born = {'u2': 9}
         driver.list_upstreams(primary='u1', revision=3, born_ms=born)
         return driver
 
     def test_confirmed_write_waits(self):
-        """A replica that cannot reach the successor still confirms it.
-
-        Symptom: an acknowledged write is taken by a replaced primary.
-        Sequence: a leaving primary is replaced by one that a replica cannot
-        reach; whoever promoted resumes that replica; it follows the old one
-        and confirms a write there, before the proxy that sent it has asked
-        the successor. Cause: the list's word was left aside until then.
-        Proof, from walk 6500: 2371 ms u4 leads; 2376 ms p1 has it from the
-        list; 2452 ms p1 sends a write to u1; 2470 ms u3 holds it, and p1
-        acknowledges.
+        """A replica that cannot reach the successor still confirms writes.
+
+        Guards against acknowledging a write at a replaced primary (random
+        walk 6500): a leaving primary is replaced by an upstream that one
+        replica cannot reach. The promoting proxy resumes that replica, which
+        follows the old primary and confirms a write there, before the proxy
+        that sent the write has queried the successor. The successor named in
+        the list must be taken into account before it replies.
         """
-        driver = self.contested()
+        driver = self.list_successor()
         self.assertNotIsInstance(write(driver, 'u3'), outcomes.Done)
 
-    def test_successor_that_began_again(self):
-        """Only its own log told of its term, and that log is gone.
+    def test_successor_that_was_recreated(self):
+        """The only record of its term was its own log, which is lost.
 
-        Symptom: as above. Sequence: the successor ends within 300 ms of its
-        promotion and begins again, empty; the old primary leads on, and the
-        proxy that saw no promotion sends it a write. Cause: the claim was
-        forgotten with the one that made it. Proof, from walk 6580: 3949 ms u3
-        leads; 3985 ms p2 has it from the list; 4455 ms u3 begins again;
-        4838 ms p2 sends a write to u1; 5062 ms p2 acknowledges.
+        Guards against the same failure as above (random walk 6580): the
+        successor stops within 300 ms of its promotion and is recreated empty.
+        The old primary continues, and a proxy that did not see the promotion
+        sends it a write. The claim to lead must not be discarded together
+        with the upstream that made it.
         """
-        driver = self.born_again()
+        driver = self.recreate_successor()
         driver.open_all()
         for _ in range(20):
             driver.tick(20)
@@ -77,9 +74,9 @@
         outcome = write(driver, 'u2', 'u3')
         self.assertNotIsInstance(outcome, outcomes.Done)
 
-    def test_another_is_promoted_then(self):
-        """Else no write would be acknowledged any more."""
-        driver = self.born_again(holds_duty=True)
+    def test_another_is_promoted_after_the_successor_was_recreated(self):
+        """Otherwise no further write would be acknowledged."""
+        driver = self.recreate_successor(holds_lease=True)
         driver.open_all()
         outs = []
         for _ in range(10):
@@ -87,8 +84,8 @@
             outs += driver.answer_leadership_checks()
             outs += failover_support.answer_control_commands(driver)
         begun = support.decisions(outs, 'promotion begins')
-        whys = [inputs['why'] for inputs in begun]
-        self.assertEqual(['its successor is gone'], whys)
+        reasons = [inputs['why'] for inputs in begun]
+        self.assertEqual(['its successor is gone'], reasons)
         (order,) = support.orders(outs)
         driver.post(
             messages.PromotionOrdered(
@@ -102,13 +99,12 @@
         self.assertFalse(driver.state.successor_gone)
 
     def test_member_that_holds_entries_of_a_newer_term(self):
-        """Another led, whoever it was.
+        """Entries of a newer term show that another upstream led.
 
-        Symptom: as above. Sequence: the successor is gone before this proxy
-        has heard of it; a member that followed it says where its log ends.
-        Cause: only who is named as the primary was looked at. Proof, from
-        walk 5698: u3 says 2.1 at 4051 ms, and a write of term 1 at u1 is
-        acknowledged at 4052 ms.
+        Guards against the same failure as above (random walk 5698): the
+        successor is gone before this proxy learns of it, and a member that
+        followed it reports a log position of the newer term. Checking only
+        the upstream that is listed as primary is not enough.
         """
         driver = support.Driver().ready(names=('u1', 'u2', 'u3', 'u4'))
         key, _ = driver.submit(verb=WRITE)
@@ -122,16 +118,17 @@
         self.assertNotIsInstance(outcome, outcomes.Done)
 
     def test_claim_that_is_refuted(self):
-        """The entry was late: who is named there follows the primary."""
-        driver = self.contested()
+        """The list was outdated: the upstream it names is a replica."""
+        driver = self.list_successor()
         driver.tick(400)
         driver.answer_leadership_checks()
         self.assertIsInstance(write(driver, 'u2', 'u3'), outcomes.Done)
 
-    def test_primary_that_went_dark_contests_nothing(self):
-        """It took its last transaction before its successor led.
+    def test_unresponsive_primary_contests_nothing(self):
+        """Its last transaction was accepted before its successor led.
 
-        What would be wrong: no save for the seconds until its entry lapses.
+        Guards against rejecting writes for the seconds until the entry of the
+        unresponsive primary expires.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
@@ -146,13 +143,13 @@
         driver.tick(20)
         driver.answer_leadership_checks(primary='u2')
         key, _ = driver.submit(verb=WRITE)
-        said = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
-        proof_support.answer_status_queries(driver, 'u3', **said)
+        report = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
+        proof_support.answer_status_queries(driver, 'u3', **report)
         connection = driver.running(key)
         place = Place(2, 6)
         driver.reply(connection, support.ok('signed', place=place))
         for _ in range(5):
             driver.tick(20)
-            proof_support.answer_status_queries(driver, 'u3', **said)
+            proof_support.answer_status_queries(driver, 'u3', **report)
         outcome = support.answers(driver.outs).get(key)
         self.assertIsInstance(outcome, outcomes.Done)
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Replace a leaving primary without a stop of writes."""
+"""Test that a leaving primary is replaced without interrupting writes."""
 
 import testtools
 
@@ -15,33 +15,34 @@
 
 
 class HandOverTest(testtools.TestCase):
-    """A primary that leaves is replaced without a stop of writes."""
+    """A leaving primary is replaced without interrupting writes."""
 
-    def leaving(self) -> support.Driver:
-        """Return a holder whose primary has just reported that it leaves."""
+    def make_leaving(self) -> support.Driver:
+        """Return a lease holder whose primary just reported it is leaving."""
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
         return driver
 
     def test_successor_is_not_paused(self):
-        """Writes go on: the successor confirms them."""
-        driver = self.leaving()
-        heir = driver.state.promotion.successor
+        """Writes continue, because the successor confirms them."""
+        driver = self.make_leaving()
+        successor = driver.state.promotion.successor
         self.assertEqual(
-            {'u2', 'u3'} - {heir},
+            {'u2', 'u3'} - {successor},
             failover_support.command_targets(driver, statements.Pause),
         )
 
-    def test_newcomer_is_paused_until_the_successor_leads(self):
-        """A replica that comes meanwhile confirms writes as well.
+    def test_new_member_is_paused_until_the_successor_leads(self):
+        """A replica that is added during the hand-over confirms writes too.
 
-        Symptom: an acknowledged write is gone after a hand-over. Sequence:
-        the successor is ordered to lead; a new replica comes and confirms a
-        write of the old primary; the successor leads before it has that.
-        Cause: pausing only those that were there when the order went out.
+        Guards against losing an acknowledged write in a hand-over: the
+        successor is ordered to lead, a new replica is added and confirms a
+        write of the old primary, and the successor leads before it has
+        received that write. It is not enough to pause the replicas that were
+        present when the order was sent.
         """
-        driver = self.leaving()
+        driver = self.make_leaving()
         (order,) = support.orders(
             failover_support.answer_control_commands(driver)
         )
@@ -57,15 +58,15 @@
             'u4', failover_support.command_targets(driver, statements.Pause)
         )
 
-    def test_newcomer_is_paused_the_moment_it_is_reached(self):
-        """Each millisecond that it is not paused may lose a write.
+    def test_new_member_is_paused_once_it_is_reached(self):
+        """A write may be lost in each millisecond before it is paused.
 
-        Symptom: an acknowledged write is gone after a failover. Sequence: a
-        promotion is under way; a replica comes and confirms a write 40 ms
-        after it was listed. Cause: dialling it at once, but pausing it only
-        at the next tick, or the one after.
+        Guards against losing an acknowledged write in a failover: during a
+        promotion, a replica is added and confirms a write 40 ms after it was
+        listed, because it is dialled immediately but paused only at one of
+        the next ticks.
         """
-        driver = self.leaving()
+        driver = self.make_leaving()
         failover_support.answer_control_commands(driver)
         names = ('u1', 'u2', 'u3', 'u4')
         outs = driver.list_upstreams(names=names, leaving='u1')
@@ -79,16 +80,15 @@
             'u4', failover_support.command_targets(driver, statements.Pause)
         )
 
-    def test_closed_member_is_asked_on_the_dial_that_was_for_it(self):
-        """A member that leaves is asked although it gets no more work.
+    def test_leaving_member_is_queried_on_its_own_dial(self):
+        """A leaving member is queried although it gets no more work.
 
-        Symptom: a hand-over that does not end; the primary ends first, and
-        its group takes no writes for seconds. Sequence: the idle connections
-        to a leaving replica are closed; it is dialled to be paused; a guard
-        goes out on the new connection, and that is closed after it; the
-        replica counts as asked and is dialled again 200 ms later, over and
-        over. Cause: taking a dial for a question, and closing a connection
-        that is needed.
+        Guards against a hand-over that does not end before the primary stops,
+        so that the group accepts no writes for seconds. The idle connections
+        to a leaving replica are closed and it is dialled to be paused. A
+        leadership check is sent on the new connection, which is closed after
+        it. If the dial counted as a query, the replica would be dialled again
+        200 ms later, over and over.
         """
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u3', revision=2)
@@ -109,30 +109,30 @@
         self.assertIn('u3', paused)
 
     def test_successor_catches_up_first(self):
-        """The order waits until the successor holds what others confirmed."""
-        driver = self.leaving()
-        heir = driver.state.promotion.successor
-        other = ({'u2', 'u3'} - {heir}).pop()
+        """The order waits until the successor has what others confirmed."""
+        driver = self.make_leaving()
+        successor = driver.state.promotion.successor
+        other = ({'u2', 'u3'} - {successor}).pop()
         outs = failover_support.answer_control_commands(
-            driver, **{heir: Place(1, 7), other: Place(1, 8)}
+            driver, **{successor: Place(1, 7), other: Place(1, 8)}
         )
         self.assertEqual([], support.orders(outs))
         driver.tick(40)
         outs = failover_support.answer_control_commands(
-            driver, **{heir: Place(1, 8), other: Place(1, 8)}
+            driver, **{successor: Place(1, 8), other: Place(1, 8)}
         )
         (order,) = support.orders(outs)
-        self.assertEqual(heir, order.upstream)
+        self.assertEqual(successor, order.upstream)
 
-    def test_heir_is_one_that_is_reached(self):
-        """A longer log is of no use where it cannot be asked.
+    def test_successor_is_reachable(self):
+        """A longer log is of no use if the replica cannot be queried.
 
-        Symptom: no saves for two seconds while a primary leaves. Sequence:
-        a primary is cut off and replaced by one that leaves; its log is the
-        longest, so it is to follow again; the hand-over waits for it, and the
-        primary is demoted for that in vain. Cause: choosing by the log alone.
-        Proof, from the log: 32.735 s the hand-over begins, the heir is the
-        one that was lost at 32.400 s; 38.030 s another is ordered.
+        Guards against two seconds without writes while a primary leaves: a
+        primary is cut off and replaced by one that is leaving. The first has
+        the longest log, so it is chosen as successor again. The hand-over
+        waits for it, and the primary is demoted in vain. The choice must not
+        depend on the log alone. In one run the hand-over began 0.3 s after
+        the loss of the chosen successor, and another was ordered 5.3 s later.
         """
         driver = failover_support.make_lease_holder()
         driver.state.upstreams['u3'].place = Place(1, 9)
@@ -141,40 +141,38 @@
         driver.tick(20)
         self.assertEqual('u2', driver.state.promotion.successor)
 
-    def test_heir_that_is_gone(self):
-        """Another is found; whoever bears its name now is another.
+    def test_successor_is_removed_or_recreated(self):
+        """The attempt ends if the successor is removed or recreated.
 
-        Symptom: `KeyError` in the middle of a hand-over, and a group that
-        begins anew. Sequence: the heir's entry lapses, or it begins again,
-        while the others are paused. Cause: the heir was looked up among those
-        that had answered. Proof: walk 5618, on the way to these changes.
+        Guards against a `KeyError` during a hand-over that restarts the group
+        (random walk 5618): the successor's entry expires, or it is recreated,
+        while the others are paused. It is then not among the members that
+        have reported.
         """
         for born in ({}, {'u2': 99, 'u3': 99}):
-            driver = self.leaving()
-            heir = driver.state.promotion.successor
+            driver = self.make_leaving()
+            successor = driver.state.promotion.successor
             names = ('u1', 'u2', 'u3') if born else ('u1', 'u2', 'u3', 'u4')
-            names = tuple(n for n in names if born or n != heir)
+            names = tuple(n for n in names if born or n != successor)
             outs = driver.list_upstreams(
                 names=names, leaving='u1', revision=3, born_ms=born
             )
             ended = support.decisions(outs, 'promotion ended')
-            hows = [inputs['how'] for inputs in ended]
-            self.assertEqual(['lost meanwhile'], hows)
+            results = [inputs['how'] for inputs in ended]
+            self.assertEqual(['lost meanwhile'], results)
             self.assertEqual([], support.orders(outs))
 
-    def test_heir_holds_what_the_primary_began_with(self):
-        """Nobody but the primary may hold that, if it was just promoted.
+    def test_successor_holds_the_initial_entries_of_the_primary(self):
+        """Only the primary may hold its initial entries after its promotion.
 
-        Symptom: acknowledged writes are gone after a hand-over. Sequence: a
-        replica that confirmed them alone is promoted; the others receive
-        nothing; it leaves; they are paused and report less, the heir as much
-        as they, and it is ordered. Cause: the heir had to hold what the
-        paused ones report, and they hold all that is acknowledged only once
-        they have followed the primary. Proof, from walk 5956: 4473 ms u2 is
-        ordered at 1.7, u3 and u4 at 0.0; 5311 ms u4 is ordered as the heir at
-        0.0.
+        Guards against losing acknowledged writes in a hand-over (random walk
+        5956): a replica that alone confirmed them is promoted, the others
+        receive nothing, and then it leaves. The paused replicas and the
+        successor report shorter logs, and the successor is ordered. It is not
+        enough that the successor holds what the paused replicas report: they
+        hold all acknowledged writes only once they have followed the primary.
         """
-        driver = self.leaving()
+        driver = self.make_leaving()
         driver.state.primary_start = position_records.PrimaryStart(
             'u1', Place(1, 7)
         )
@@ -190,54 +188,54 @@
             outs += failover_support.answer_control_commands(driver, **places)
         self.assertEqual(1, len(support.orders(outs)))
 
-    def test_heir_holds_what_is_acknowledged(self):
-        """As above, where this proxy acknowledged it itself."""
-        driver = self.leaving()
+    def test_successor_holds_acknowledged_writes(self):
+        """As above, but this proxy itself acknowledged the write."""
+        driver = self.make_leaving()
         driver.state.acknowledged = Place(1, 7)
         outs = failover_support.answer_control_commands(driver)
         driver.tick(40)
         outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
 
-    def blocked(self) -> support.Driver:
-        """Have one member stay silent until the primary is demoted."""
-        driver = self.leaving()
-        heir = driver.state.promotion.successor
+    def block_hand_over(self) -> support.Driver:
+        """Keep one member silent until the primary is demoted."""
+        driver = self.make_leaving()
+        successor = driver.state.promotion.successor
         for _ in range(50):
             driver.tick(20)
             driver.answer_leadership_checks()
-            for connection in driver.busy(heir):
+            for connection in driver.busy(successor):
                 if connection.purpose is states.Purpose.CONTROL:
                     driver.reply(connection, support.report(held_term=0))
         return driver
 
-    def test_silent_member_does_not_keep_the_primary(self):
-        """A leaving primary is demoted if a member cannot be asked.
+    def test_silent_member_does_not_block_the_hand_over(self):
+        """A leaving primary is demoted if a member cannot be queried.
 
-        Symptom: a group takes no saves for four seconds in the middle of a
-        release. Sequence: the primary leaves; a replica is cut off from the
-        holder of the duty and so cannot be paused; the hand-over waits for
-        it until the primary has ended. Cause: no other way to know that the
-        heir holds all that the replica may have confirmed.
+        Guards against four seconds without writes during a release: the
+        primary leaves, and a replica is cut off from the lease holder and so
+        cannot be paused. The hand-over waits for it until the primary has
+        stopped, because there was no other way to determine that the
+        successor holds everything that the replica may have confirmed.
         """
-        driver = self.blocked()
-        heir = driver.state.promotion.successor
+        driver = self.block_hand_over()
+        successor = driver.state.promotion.successor
         (demoting,) = [
             connection
             for connection in driver.busy('u1')
             if isinstance(connection.commands[0], statements.Demote)
         ]
         outs = driver.reply(demoting, support.report(received=Place(1, 5)))
-        for connection in driver.busy(heir):
+        for connection in driver.busy(successor):
             if connection.purpose is states.Purpose.CONTROL:
                 outs += driver.reply(connection, support.report())
         (order,) = support.orders(outs)
-        self.assertEqual(heir, order.upstream)
+        self.assertEqual(successor, order.upstream)
 
-    def test_demoted_primary_leads_again_if_its_heir_lacks_something(self):
-        """Nobody else is known to hold all that was acknowledged."""
-        driver = self.blocked()
-        heir = driver.state.promotion.successor
+    def test_demoted_primary_leads_again_if_its_successor_is_behind(self):
+        """No other member is known to hold all acknowledged writes."""
+        driver = self.block_hand_over()
+        successor = driver.state.promotion.successor
         ahead = support.report(received=Place(1, 9))
         behind = support.report(received=Place(1, 5), held_term=0)
         not_leading = support.refused(statements.Code.READ_ONLY)
@@ -248,19 +246,20 @@
                     outs += driver.reply(connection, not_leading, support.ok())
                 elif connection.upstream == 'u1':
                     outs += driver.reply(connection, ahead)
-                elif connection.upstream == heir:
+                elif connection.upstream == successor:
                     outs += driver.reply(connection, behind)
             outs += driver.tick(20)
         self.assertEqual({'u1'}, {o.upstream for o in support.orders(outs)})
 
-    def test_leaving_primary_gets_no_copy_late(self):
-        """A slow read is not tried there a second time either.
+    def test_leaving_primary_gets_no_late_hedge(self):
+        """A slow read is not hedged to a leaving primary either.
 
-        Symptom: a request reaches an upstream 9.3 s after it said that it
-        leaves. Sequence: a primary is lost; a leaving upstream holds most and
-        is promoted, although it gets no new work; its connections are open
-        for the promotion; a read that hangs at the lost one is tried there.
-        Cause: only new work looked at who is closed to it.
+        Guards against a request that reaches an upstream 9.3 s after it
+        reported that it is leaving: a primary is lost, and a leaving upstream
+        has the longest log and is promoted although it gets no new work. Its
+        connections are open for the promotion, and a read that hangs at the
+        lost primary is also tried there. Only new requests were checked
+        against upstreams that are closed to work.
         """
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u2', revision=2)
@@ -273,10 +272,10 @@
                 if opening and connection.upstream != 'u1':
                     opened = messages.Opened(connection.number, Place(1, 9))
                     driver.post(opened)
-            said = failover_support.answer_control_commands(
+            replies = failover_support.answer_control_commands(
                 driver, u2=Place(1, 9)
             )
-            for order in support.orders(said):
+            for order in support.orders(replies):
                 driver.post(
                     messages.PromotionOrdered(
                         order.upstream, order.token, OrderResult.ACCEPTED
@@ -301,9 +300,9 @@
         ]
         self.assertEqual([], runs)
 
-    def test_leaving_primary_gets_nothing_late(self):
-        """Well before its end it is closed to new work."""
-        driver = self.leaving()
+    def test_leaving_primary_gets_no_late_request(self):
+        """A leaving primary is closed to new work well before it stops."""
+        driver = self.make_leaving()
         driver.tick(5000)
         _, outs = driver.submit(verb=support.Verb.WRITE)
         to_primary = [
--- a/topazring/core/synchronous/tests/test_listing.py
+++ b/topazring/core/synchronous/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Believe the platform's list, but not too soon."""
+"""Test how the platform's list is applied, and after which delays."""
 
 import testtools
 
@@ -10,7 +10,7 @@
 
 
 def configuration(version: int, **policies) -> listings.Configuration:
-    """Return a configuration of one service."""
+    """Return a configuration with one service."""
     return listings.Configuration(version, policies, {'s': 23})
 
 
@@ -25,21 +25,21 @@
 
 
 class ListingTest(testtools.TestCase):
-    """What is listed, from when, until when."""
+    """Entries are added, updated and removed at the right time."""
 
     def setUp(self):
-        """Begin with a configuration and one upstream."""
+        """Start with a configuration and one upstream."""
         super().setUp()
         self.listing = listings.Listing()
         listings.apply_record(self.listing, 0, 0, 'c', configuration(7))
         listings.apply_record(self.listing, 0, 0, 'k', record(1))
 
     def test_configuration_never_goes_back(self):
-        """A stale read or a late answer brings an older version.
+        """A stale read or a late reply contains an older version.
 
-        Symptom: a dropped route serves again. Sequence: the history is lost;
-        everything is read anew, from a copy that is seconds old. Cause:
-        taking whatever comes last.
+        Guards against a removed route that is served again: the store's
+        history is lost, and everything is read again from a copy that is
+        seconds old.
         """
         taken = listings.apply_record(
             self.listing, 9, 9, 'c', configuration(6)
@@ -47,13 +47,13 @@
         self.assertEqual(set(), taken)
         self.assertEqual(7, self.listing.configuration.version)
 
-    def test_lapsed_entry_is_kept_for_a_moment(self):
-        """Entries lapse with the service that holds them, and come back.
+    def test_expired_entry_is_kept_for_a_grace_period(self):
+        """Entries expire with the service that holds them, and reappear.
 
-        Symptom: every connection is dropped when the service returns.
-        Sequence: the service is away; entries lapse in it; it returns and
-        says so; the upstreams write their entries anew a second later.
-        Cause: taking a lapse for an end.
+        Guards against closing every connection when the service returns:
+        entries expire while the service is unavailable, it returns and
+        reports that, and the upstreams write their entries again a second
+        later.
         """
         listings.record_removal(self.listing, 1000, 'k')
         self.assertEqual(
@@ -65,22 +65,22 @@
         )
         self.assertEqual(1, len(listings.upstreams_of(self.listing, 9, 's')))
 
-    def test_entry_that_stays_missing_is_gone(self):
-        """Two seconds after the service's return."""
+    def test_entry_that_stays_missing_is_removed(self):
+        """It is removed about two seconds after the service's return."""
         listings.record_removal(self.listing, 1000, 'k')
         self.assertEqual(
             {'s'}, listings.remove_expired(self.listing, 3200, None)
         )
 
-    def test_nothing_lapses_while_the_service_is_away(self):
-        """Nobody can say what is there."""
+    def test_nothing_is_removed_while_the_service_is_unavailable(self):
+        """Which entries exist is unknown while the service is unavailable."""
         listings.record_removal(self.listing, 1000, 'k')
         self.assertEqual(
             set(), listings.remove_expired(self.listing, 9000, 1000)
         )
 
-    def test_entry_that_said_it_leaves_is_gone_at_once(self):
-        """It was announced."""
+    def test_entry_that_announced_leaving_is_removed_at_once(self):
+        """An announced removal needs no grace period."""
         listings.apply_record(
             self.listing, 500, 400, 'k', record(2, leaving=True)
         )
@@ -88,13 +88,13 @@
             {'s'}, listings.record_removal(self.listing, 1000, 'k')
         )
 
-    def test_leaving_counts_from_when_it_may_have_been_said(self):
-        """The list was last complete at 400, so it may be that old.
+    def test_leaving_counts_from_the_earliest_possible_report(self):
+        """The list was last complete at 400, so the report may be that old.
 
-        Symptom: work reaches an upstream after its time to leave. Sequence:
-        this proxy is cut off from the service for seconds; an upstream says
-        that it leaves; the proxy hears of it late and counts from then.
-        Cause: taking the time of hearing for the time of saying.
+        Guards against work that reaches an upstream after its time to leave:
+        this proxy is cut off from the service for seconds, an upstream
+        reports that it is leaving, and the proxy receives that late. The
+        time of receipt must not be taken for the time of the report.
         """
         listings.apply_record(
             self.listing, 5000, 400, 'k', record(2, leaving=True)
@@ -102,20 +102,20 @@
         (upstream,) = listings.upstreams_of(self.listing, 5100, 's')
         self.assertEqual(4700, upstream.leaving_for_ms)
 
-    def test_older_entry_is_not_taken(self):
-        """Pages and events overlap."""
+    def test_older_entry_is_ignored(self):
+        """Pages and events overlap, so older entries arrive after newer."""
         listings.apply_record(self.listing, 0, 0, 'k', record(4, leaving=True))
         listings.apply_record(self.listing, 0, 0, 'k', record(3))
         (upstream,) = listings.upstreams_of(self.listing, 0, 's')
         self.assertTrue(upstream.leaving)
 
     def test_complete_list_shows_what_is_missing(self):
-        """Events of a lost history are never told."""
+        """Events of a lost history are never sent."""
         listings.reconcile(self.listing, 0, {'c'})
         self.assertEqual({'k': 0}, self.listing.missing_since_ms)
 
     def test_each_proxy_sees_the_same_others(self):
-        """So each works out the same owners, listed itself or not."""
+        """Each proxy computes the same owners, even if it is not listed."""
         for name in ('p2', 'p1'):
             proxy = listings.ProxyRecord(name, 'here', '', f'{name}:7440')
             listings.apply_record(self.listing, 0, 0, name, proxy)
@@ -129,30 +129,30 @@
         with_third = listings.proxies_of(self.listing, 'p3', 'there')
         self.assertEqual('there', with_third[2].data_centre)
 
-    def test_where_proxies_take_requests(self):
-        """As each of them listed it."""
+    def test_addresses_for_forwarded_requests(self):
+        """The address is the one that each proxy listed."""
         proxy = listings.ProxyRecord('p1', 'here', '', 'p1:7440')
         listings.apply_record(self.listing, 0, 0, 'p1', proxy)
         found = listings.hop_addresses(self.listing)
         self.assertEqual({'p1': 'p1:7440'}, found)
 
     def test_proxies_are_kept_while_they_list_themselves_anew(self):
-        """Otherwise each takes itself for the only owner.
+        """Otherwise each proxy assumes that it is the only owner.
 
-        Symptom: after an outage of the service that lists, every proxy sends
-        its callers to nobody, and dials all connections. Sequence: the
-        leases of all proxies end meanwhile; it is back; each proxy sees that
-        all others are gone. Cause: taking a lapsed entry for an end.
+        Guards against proxies that forward no requests and dial all
+        connections after an outage of the service that holds the list: the
+        leases of all proxies expire during the outage, and when the service
+        returns, all other proxies seem to be gone.
         """
         proxy = listings.ProxyRecord('p1', 'here')
         listings.apply_record(self.listing, 0, 0, 'p1', proxy)
         listings.record_removal(self.listing, 1000, 'p1')
-        kept_ms = listings.PROXY_GRACE_MS
-        listings.remove_expired(self.listing, 1000 + kept_ms - 1, None)
+        grace_ms = listings.PROXY_GRACE_MS
+        listings.remove_expired(self.listing, 1000 + grace_ms - 1, None)
         self.assertIn('p1', self.listing.proxies)
         listings.apply_record(self.listing, 9000, 0, 'p1', proxy)
-        listings.remove_expired(self.listing, 1000 + kept_ms, None)
+        listings.remove_expired(self.listing, 1000 + grace_ms, None)
         self.assertIn('p1', self.listing.proxies)
         listings.record_removal(self.listing, 20_000, 'p1')
-        listings.remove_expired(self.listing, 20_000 + kept_ms, None)
+        listings.remove_expired(self.listing, 20_000 + grace_ms, None)
         self.assertNotIn('p1', self.listing.proxies)
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -1,4 +1,4 @@
-"""A replica that no promotion asks may be the one that confirms a write."""
+"""Test writes that only a member unknown to the promoter confirmed."""
 
 import testtools
 
@@ -14,70 +14,70 @@
 WITH = test_confirmations.WITH
 WITHOUT = test_confirmations.WITHOUT
 FOUR = test_confirmations.FOUR
-# Walks through overlapping releases on which an acknowledged write was lost:
-# it hung as the members were paused; nobody was listed who held it; several
-# hung during a hand-over.
+# Random walks through overlapping releases in which an acknowledged write was
+# lost. The causes were: it was pending when the members were paused; no listed
+# member held it; several were pending during a hand-over.
 LOST_WALKS = (20003, 20060, 20129, 21013, 21024, 21303)
 STEPS = 400
-# What a paused member says that lacks the write, and one that holds it.
+# Reports of a paused member without the write, and of a member that holds it.
 PAUSED = {'received': WITHOUT, 'term': 1, 'held_term': 2}
 HOLDER = {'received': WITH, 'term': 1, 'held_term': 0}
 
 
-def play_words(driver: support.Driver, for_ms: int, **words: dict) -> None:
-    """Let time pass while members say this, and `u1` leads."""
+def play_reports(driver: support.Driver, for_ms: int, **reports: dict) -> None:
+    """Let time pass while members send these reports and `u1` leads."""
     for _ in range(for_ms // 20):
         driver.tick(20)
-        for name, said in words.items():
-            proof_support.answer_status_queries(driver, name, **said)
+        for name, report in reports.items():
+            proof_support.answer_status_queries(driver, name, **report)
         test_isolation.answer_queries_of(driver, 'u1')
 
 
-class NewcomerTest(testtools.TestCase):
-    """A replica starts beside the primary before this proxy knows it."""
+class NewMemberTest(testtools.TestCase):
+    """A replica starts before this proxy has it in its list."""
 
     def setUp(self):
-        """Have a write under way."""
+        """Start a write."""
         super().setUp()
         self.driver = support.Driver().ready()
         self.driver.tick(20)
         self.key, _ = self.driver.submit(verb=support.Verb.WRITE)
 
     def outcome(self) -> outcomes.Outcome | None:
-        """Return what the caller got, if anything."""
+        """Return the outcome that the caller received, if any."""
         return support.answers(self.driver.outs).get(self.key)
 
     def test_write_under_way_as_members_are_paused(self):
-        """Guards against acknowledging on an answer older than the pause."""
+        """Guards against acknowledging on a reply older than the pause."""
         test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
         self.assertIsNone(self.outcome())
-        said = {'held_term': 2, 'received': WITHOUT}
-        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **said)
+        report = {'held_term': 2, 'received': WITHOUT}
+        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **report)
         self.assertNotIsInstance(self.outcome(), outcomes.Done)
 
     def test_members_that_receive_nothing(self):
-        """Guards against a loss of what only an unlisted replica holds."""
+        """Guards against losing a write that only an unlisted member has."""
         test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
-        said = {'received': WITHOUT}
-        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **said)
+        report = {'received': WITHOUT}
+        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **report)
         self.assertNotIsInstance(self.outcome(), outcomes.Done)
 
-    def test_asked_the_moment_it_is_confirmed(self):
-        """Guards against callers who wait for a tick after each save."""
+    def test_members_are_queried_once_it_is_confirmed(self):
+        """Guards against callers that wait for a tick after each write."""
         test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
-        said = {'received': WITH, 'term': 1, 'held_term': 0}
-        proof_support.answer_status_queries(self.driver, 'u2', **said)
+        report = {'received': WITH, 'term': 1, 'held_term': 0}
+        proof_support.answer_status_queries(self.driver, 'u2', **report)
         self.assertIsInstance(self.outcome(), outcomes.Done)
 
 
 class DeadlineTest(testtools.TestCase):
-    """A write is confirmed as its time ends."""
+    """A write is confirmed just before its deadline."""
 
     def confirmed(self) -> support.Driver:
-        """Have a write confirmed one ms before its deadline."""
+        """Confirm a write one millisecond before its deadline."""
         driver = support.Driver().ready()
         self.key, _ = driver.submit(verb=support.Verb.WRITE)
         for name in ('u2', 'u3'):
@@ -88,16 +88,16 @@
         test_confirmations.confirm(driver, self.key)
         return driver
 
-    def test_word_that_comes_a_little_later(self):
-        """Guards against calling a write unknown that is known to last."""
+    def test_report_that_arrives_slightly_later(self):
+        """Guards against reporting a durable write as unknown."""
         driver = self.confirmed()
         driver.tick(5)
-        said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proof_support.answer_status_queries(driver, 'u2', **said)
+        report = {'received': WITH, 'term': 1, 'held_term': 0}
+        outs = proof_support.answer_status_queries(driver, 'u2', **report)
         self.assertIsInstance(support.answers(outs)[self.key], outcomes.Done)
 
-    def test_word_that_does_not_come(self):
-        """Guards against a caller who is not answered at all."""
+    def test_report_that_does_not_arrive(self):
+        """Guards against a caller that gets no answer at all."""
         driver = self.confirmed()
         outs = driver.tick(80)
         outcome = support.answers(outs)[self.key]
@@ -105,10 +105,12 @@
 
 
 class ReplacedTest(testtools.TestCase):
-    """A write is confirmed as the leaving primary's heir begins to lead."""
+    """A write is confirmed as the leaving primary's successor takes over."""
 
-    def carried_on(self, place: support.Place) -> outcomes.Outcome | None:
-        """Return the answer where the heir's log ends there as it leads."""
+    def answer_after_take_over(
+        self, place: support.Place
+    ) -> outcomes.Outcome | None:
+        """Return the answer if the successor starts with this position."""
         driver = support.Driver().ready()
         driver.list_upstreams(leaving='u1')
         test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3')
@@ -120,27 +122,27 @@
         self.assertNotIn(key, support.answers(driver.outs))
         for _ in range(5):
             driver.tick(20)
-            said = {'role': support.Role.PRIMARY, 'term': 2, 'held_term': 0}
+            report = {'role': support.Role.PRIMARY, 'term': 2, 'held_term': 0}
             proof_support.answer_status_queries(
-                driver, 'u2', received=place, **said
+                driver, 'u2', received=place, **report
             )
         return support.answers(driver.outs).get(key)
 
-    def test_heir_that_began_with_it(self):
-        """Guards against calling unknown what a hand-over carried on."""
-        self.assertIsInstance(self.carried_on(WITH), outcomes.Done)
+    def test_successor_that_started_with_it(self):
+        """Guards against an unknown outcome of a write the successor has."""
+        self.assertIsInstance(self.answer_after_take_over(WITH), outcomes.Done)
 
-    def test_heir_that_began_without_it(self):
-        """Guards against acknowledging what the heir never received."""
-        answer = self.carried_on(WITHOUT)
+    def test_successor_that_started_without_it(self):
+        """Guards against acknowledging what the successor never received."""
+        answer = self.answer_after_take_over(WITHOUT)
         self.assertIsInstance(answer, outcomes.Unknown)
 
 
 class AloneTest(testtools.TestCase):
-    """A primary is the only one that is listed."""
+    """The primary is the only listed upstream."""
 
     def test_write_is_answered(self):
-        """Guards against callers who wait for members that are not there."""
+        """Guards against callers that wait for members that do not exist."""
         driver = support.Driver().ready(names=('u1',))
         key, _ = driver.submit(verb=support.Verb.WRITE)
         outs = test_confirmations.confirm(driver, key)
@@ -148,10 +150,10 @@
 
 
 class HandOverTest(testtools.TestCase):
-    """A leaving primary hands over while a new replica follows it."""
+    """A leaving primary is replaced while a new replica follows it."""
 
-    def confirmed(self, **heir) -> support.Driver:
-        """Have a write confirmed while `u3` is paused; `u2` says this."""
+    def confirmed(self, **successor_report) -> support.Driver:
+        """Confirm a write while `u3` is paused and `u2` reports this."""
         driver = support.Driver().ready()
         driver.list_upstreams(leaving='u1')
         driver.list_upstreams(names=FOUR, leaving='u1')
@@ -159,32 +161,38 @@
         test_isolation.run_for(driver, 400, *FOUR)
         self.key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, self.key)
-        play_words(driver, 300, u2={**PAUSED, **heir}, u3=PAUSED, u4=HOLDER)
+        play_reports(
+            driver,
+            300,
+            u2={**PAUSED, **successor_report},
+            u3=PAUSED,
+            u4=HOLDER,
+        )
         return driver
 
-    def test_heir_that_receives_nothing(self):
-        """Guards against acknowledging what only a newcomer confirmed."""
+    def test_successor_that_receives_nothing(self):
+        """Guards against acknowledging what only a new member confirmed."""
         driver = self.confirmed(held_term=0)
         outcome = support.answers(driver.outs).get(self.key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
     def test_member_whose_pause_ended_with_its_restart(self):
-        """Guards against the word of one that the heir was not held to."""
+        """Guards against counting a report the successor need not match."""
         driver = self.confirmed(held_term=0)
         for _ in range(5):
             driver.tick(20)
-            said = {'received': WITHOUT, 'term': 1, 'held_term': 0}
-            proof_support.answer_status_queries(driver, 'u2', **said)
-            said = {'received': WITH, 'term': 1, 'held_term': 0}
-            proof_support.answer_status_queries(driver, 'u3', **said)
+            report = {'received': WITHOUT, 'term': 1, 'held_term': 0}
+            proof_support.answer_status_queries(driver, 'u2', **report)
+            report = {'received': WITH, 'term': 1, 'held_term': 0}
+            proof_support.answer_status_queries(driver, 'u3', **report)
             proof_support.answer_status_queries(
                 driver, 'u4', received=WITHOUT, term=1
             )
         outcome = support.answers(driver.outs).get(self.key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
-    def test_heir_that_is_silent(self):
-        """Guards against the word of a newcomer while the heir is cut off."""
+    def test_successor_that_is_silent(self):
+        """Guards against a new member's report if the successor is cut off."""
         driver = support.Driver().ready()
         driver.list_upstreams(leaving='u1')
         driver.list_upstreams(names=FOUR, leaving='u1')
@@ -192,12 +200,12 @@
         test_isolation.run_for(driver, 400, 'u1', 'u3', 'u4')
         key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, key)
-        play_words(driver, 600, u3=PAUSED, u4=HOLDER)
+        play_reports(driver, 600, u3=PAUSED, u4=HOLDER)
         outcome = support.answers(driver.outs).get(key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
-    def test_newcomer_while_all_others_are_paused(self):
-        """Guards against taking a lost primary that leaves for a hand-over."""
+    def test_new_member_while_all_others_are_paused(self):
+        """Guards against treating a leaving primary's loss as a hand-over."""
         driver = support.Driver().ready()
         test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3', held_term=2)
         driver.list_upstreams(names=FOUR, leaving='u1')
@@ -205,25 +213,25 @@
         test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3', held_term=2)
         key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, key)
-        play_words(driver, 300, u2=PAUSED, u3=PAUSED, u4=HOLDER)
+        play_reports(driver, 300, u2=PAUSED, u3=PAUSED, u4=HOLDER)
         outcome = support.answers(driver.outs).get(key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
-    def test_heir_that_is_new(self):
-        """Guards against writes that stand still as all known are paused."""
+    def test_successor_that_is_new(self):
+        """Guards against blocked writes if all established members pause."""
         driver = self.confirmed(held_term=2)
         outcome = support.answers(driver.outs).get(self.key)
         self.assertIsInstance(outcome, outcomes.Done)
 
-    def test_heir_that_holds_it(self):
-        """Guards against writes that stand still during a hand-over."""
+    def test_successor_that_holds_it(self):
+        """Guards against writes that block during a hand-over."""
         driver = self.confirmed(held_term=0, received=WITH)
         outcome = support.answers(driver.outs).get(self.key)
         self.assertIsInstance(outcome, outcomes.Done)
 
 
 class PromoterTest(testtools.TestCase):
-    """Whoever promotes asks all that are listed by then."""
+    """The promoting proxy queries all members that are listed by then."""
 
     def lost(self) -> support.Driver:
         """Lose the primary; the list is read when the test says so."""
@@ -237,15 +245,15 @@
         return driver.state.promotion.token
 
     def test_nobody_is_ordered_before_the_list_is_read(self):
-        """Guards against a choice among those that were known before."""
+        """Guards against choosing only among previously known members."""
         driver = self.lost()
         outs = failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
         outs = driver.post(messages.UpstreamListRead(self.token(driver)))
         self.assertEqual(1, len(support.orders(outs)))
 
-    def test_newcomer_that_alone_holds_a_write_is_chosen(self):
-        """Guards against passing over one that others knew for long."""
+    def test_new_member_that_alone_holds_a_write_is_chosen(self):
+        """Guards against ignoring a member that other proxies already knew."""
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         driver.list_upstreams(primary='', names=FOUR, revision=2)
@@ -257,7 +265,7 @@
         self.assertEqual('u4', order.upstream)
 
     def test_successor_that_leads_by_now(self):
-        """Guards against a new primary's word for its own write."""
+        """Guards against counting a new primary's report on its own write."""
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         token = self.token(driver)
@@ -279,8 +287,8 @@
         outcome = support.answers(driver.outs).get(key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
-    def test_list_that_nobody_could_tell(self):
-        """Guards against an order by one that hears of nothing new."""
+    def test_list_that_cannot_be_read(self):
+        """Guards against an order by a proxy that receives no updates."""
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         outs = driver.post(
@@ -299,8 +307,8 @@
         ]
         self.assertEqual('the list cannot be read', yields[0].why)
 
-    def test_order_is_repeated_only_on_a_new_list(self):
-        """Guards against ordering one that began again, empty, meanwhile."""
+    def test_order_is_resent_only_with_a_recent_list(self):
+        """Guards against ordering a member that was recreated empty."""
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         token = self.token(driver)
@@ -316,9 +324,9 @@
 
 
 class WalksTest(testtools.TestCase):
-    """Members of a group are released one after the other, overlapping."""
+    """Members of a group are released one by one, with overlaps."""
 
     def test_walks_that_lost_a_write(self):
-        """Guards against promotions that a write's only holder missed."""
+        """Guards against promotions without the only holder of a write."""
         for seed in LOST_WALKS:
             walks.walk(seed, STEPS, walks.RELEASES, walks.SLOW_PROMOTE_MS)
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -1,4 +1,4 @@
-"""Replace a lost primary without losing what was acknowledged."""
+"""Test that a lost primary is replaced without losing acknowledged writes."""
 
 import testtools
 
@@ -15,10 +15,10 @@
 
 
 class LostPrimaryTest(testtools.TestCase):
-    """A primary that is lost is replaced by the right replica."""
+    """A lost primary is replaced by a replica with all acknowledged writes."""
 
     def test_highest_replica_is_promoted(self):
-        """Pause all replicas, look, promote the one that received most."""
+        """Pause all replicas and promote the one with the longest log."""
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         outs = failover_support.answer_control_commands(
@@ -31,10 +31,9 @@
     def test_nobody_is_promoted_without_every_answer(self):
         """A silent replica may be the only one that holds a write.
 
-        Symptom: an acknowledged save is gone after a failover. Sequence: one
-        replica confirms it, the primary is lost, that replica is slow to
-        answer, the other is promoted. Cause: choosing among those that
-        answered.
+        Guards against losing an acknowledged write in a failover: one replica
+        confirms it, the primary is lost, that replica is slow to reply, and
+        the other one is promoted.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
@@ -45,14 +44,13 @@
         self.assertEqual([], support.orders(outs))
 
     def test_log_below_what_is_acknowledged_is_not_promoted(self):
-        """The last replica that is listed may have received nothing.
+        """The only replica still listed may have received nothing.
 
-        Symptom: 26 acknowledged saves gone after two failovers in a row.
-        Sequence: one replica receives nothing for seconds; the other is
-        promoted; the old primary's entry lapses; the new primary gets no
-        write confirmed; the deaf replica is all that is listed and is
-        promoted. Cause: choosing the best without asking whether it is good
-        enough.
+        Guards against losing acknowledged writes (26 in one run) in two
+        consecutive failovers: one replica receives nothing for seconds, the
+        other is promoted, and the old primary's entry expires. The new
+        primary gets no write confirmed, and the replica that received nothing
+        is the only one listed and is promoted although its log is too short.
         """
         driver = failover_support.make_lease_holder()
         key, _ = driver.submit(verb=support.Verb.WRITE)
@@ -64,22 +62,22 @@
         outs += driver.tick(300)
         self.assertEqual([], support.orders(outs))
 
-    def test_pause_that_paused_nobody_is_repeated(self):
-        """A pause needs a term above the newest, also an unseen one.
+    def test_pause_without_effect_is_repeated(self):
+        """A pause needs a term above the newest one, even if that is unseen.
 
-        Symptom: a write is acknowledged during a failover and gone after it.
-        Sequence: nothing was written in the present term yet, so the log's
-        places show an older one; the pause names a term that is not above
-        the newest; the replica answers but goes on receiving. Cause: taking
-        any answer for a pause.
+        Guards against losing a write that is acknowledged during a failover:
+        nothing was written in the current term yet, so log positions show an
+        older one. The pause names a term that is not above the newest, and
+        the replica replies but keeps receiving. Not every reply means that
+        the replica is paused.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         outs = []
         for connection in driver.busy():
             if connection.purpose is states.Purpose.CONTROL:
-                not_held = support.report(term=4, held_term=0)
-                outs += driver.reply(connection, not_held)
+                not_paused = support.report(term=4, held_term=0)
+                outs += driver.reply(connection, not_paused)
         outs += driver.tick(60)
         self.assertEqual([], support.orders(outs))
         pauses = [
@@ -94,11 +92,10 @@
     def test_old_report_is_asked_for_again(self):
         """A paused replica that restarts confirms writes again.
 
-        Symptom: an acknowledged write is gone after a failover that took
-        long. Sequence: one replica answers the pause and restarts; the old
-        primary is back and gets a write confirmed by it; the other replica
-        answers at last; the first one's old report decides. Cause: a report
-        outlives the pause that it reports.
+        Guards against losing an acknowledged write in a long failover: one
+        replica replies to the pause and restarts, then confirms a write of
+        the old primary, which has returned. When the other replica finally
+        replies, the choice must not use the first one's outdated report.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
@@ -111,12 +108,12 @@
         self.assertEqual([], support.orders(outs))
 
     def test_order_without_answer_keeps_its_target_and_token(self):
-        """An order may be carried out seconds later.
+        """An unanswered order may be carried out seconds later.
 
-        Symptom: two upstreams are promoted one after the other, and what the
-        first acknowledged is lost. Sequence: an order gets no answer; the
-        holder orders another upstream; the first order is carried out after
-        the second. Cause: a second target under the same token.
+        Guards against promoting two upstreams one after the other and losing
+        the writes that the first acknowledged: an order gets no reply, the
+        lease holder orders another upstream with the same token, and the
+        first order is carried out after the second.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
@@ -132,13 +129,12 @@
         self.assertEqual({first}, set(support.orders(outs)))
 
     def test_term_that_rises_while_an_order_is_under_way(self):
-        """Standing by must not need the reports that led to the order.
+        """Waiting for an order must not need the reports it was based on.
 
-        Symptom: the holder's process ends in the middle of a failover.
-        Sequence: an order gets no answer; the replicas are paused again; one
-        has seen a newer term, so all reports are thrown away and everyone is
-        asked anew. Cause: comparing with the report of the chosen one, which
-        is gone by then.
+        Guards against a crash of the lease holder during a failover: an order
+        gets no reply and the replicas are paused again. One has seen a newer
+        term, so all reports are discarded, including that of the chosen
+        upstream, to which later reports are compared.
         """
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
@@ -157,12 +153,12 @@
         driver.tick(20)
         self.assertEqual(order.upstream, driver.state.promotion.chosen)
 
-    def test_answer_of_a_member_that_is_listed_no_more(self):
-        """A member's entry may lapse while it is being asked.
+    def test_reply_of_a_member_that_is_no_longer_listed(self):
+        """A member's entry may expire while a query to it is in progress.
 
-        Symptom: the holder's process ends in the middle of a failover.
-        Sequence: a replica is told to pause; its entry lapses; it answers
-        that it leads by now. Cause: looking it up among those listed.
+        Guards against a crash of the lease holder during a failover: a
+        replica is sent a pause, its entry expires, and it replies that it
+        leads by now. It is then no longer found among the listed upstreams.
         """
         for role in Role:
             driver = failover_support.make_lease_holder()
@@ -174,8 +170,8 @@
             left = {c.upstream for c in driver.state.connections.values()}
             self.assertNotIn('u3', left)
 
-    def test_refused_order_ends_the_duty(self):
-        """A higher token was seen, so another proxy holds the duty."""
+    def test_refused_order_ends_the_promotion_lease(self):
+        """A higher token was seen, so another proxy holds the lease."""
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         (order,) = support.orders(
@@ -189,8 +185,8 @@
         self.assertFalse(driver.state.holds_promotion_lease)
         self.assertEqual([], support.orders(outs))
 
-    def test_primary_that_is_back_is_left_alone(self):
-        """Silence that ended before anyone was chosen replaces nobody."""
+    def test_returned_primary_is_not_replaced(self):
+        """A primary that responds again before the choice stays primary."""
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         outs = []
@@ -206,12 +202,12 @@
         self.assertEqual([], support.orders(outs))
 
     def test_successor_that_is_gone_before_it_leads(self):
-        """Another is promoted at once.
+        """Another replica is promoted immediately.
 
-        Symptom: no primary for three seconds and more; or an empty log leads.
-        Sequence: a replica is ordered to lead, and its process ends; it
-        begins again under its name, empty. Cause: the order was stood by, and
-        repeated if it had no answer, until its time was over.
+        Guards against having no primary for three seconds or more, or
+        promoting an empty log: a replica is ordered to lead, its process
+        ends, and it is recreated empty under the same name. The order must
+        not be awaited or resent until it times out.
         """
         for result in (OrderResult.ACCEPTED, OrderResult.UNANSWERED):
             driver = failover_support.make_lease_holder()
@@ -219,24 +215,26 @@
             (order,) = support.orders(
                 failover_support.answer_control_commands(driver)
             )
-            gone = order.upstream
+            recreated = order.upstream
             outs = driver.list_upstreams(
-                primary='', revision=2, born_ms={gone: 99}
+                primary='', revision=2, born_ms={recreated: 99}
+            )
+            driver.post(
+                messages.PromotionOrdered(recreated, order.token, result)
             )
-            driver.post(messages.PromotionOrdered(gone, order.token, result))
             for _ in range(10):
                 driver.open_all()
                 outs += driver.tick(20)
                 driver.answer_leadership_checks(primary='')
                 outs += failover_support.answer_control_commands(
-                    driver, **{gone: Place(0, 0)}
+                    driver, **{recreated: Place(0, 0)}
                 )
             again = [o for o in support.orders(outs) if o.token != order.token]
-            self.assertEqual([], [o for o in again if o.upstream == gone])
+            self.assertEqual([], [o for o in again if o.upstream == recreated])
             self.assertEqual(1, len(again))
 
-    def succeeded(self, driver: support.Driver) -> None:
-        """Have `u2`, whose log is longer than that of `u3`, follow `u1`."""
+    def promote_u2(self, driver: support.Driver) -> None:
+        """Promote `u2`, whose log is longer than that of `u3`, after `u1`."""
         failover_support.lose_primary(driver)
         places = {'u2': Place(1, 7), 'u3': Place(1, 6)}
         (order,) = support.orders(
@@ -248,8 +246,8 @@
         )
         driver.list_upstreams(primary='u2', revision=2)
 
-    def chosen(self, driver: support.Driver, **places: Place) -> str:
-        """Return who follows `u2`, demoted, whose writes hang."""
+    def choose_after_u2(self, driver: support.Driver, **places: Place) -> str:
+        """Return the choice after `u2`, demoted because its writes hang."""
         attempt = attempts.Attempt('u2', 'no replica follows it', 0, 3, 300)
         attempt.unconfirmed = True
         for name, place in {'u1': Place(0, 0), **places}.items():
@@ -257,40 +255,37 @@
             attempts.record_report(attempt, driver.now_ms, name, report)
         return attempts.choose_primary(driver.state, driver.now_ms, attempt)
 
-    def test_what_a_primary_began_with_is_not_dropped(self):
-        """It may have been acknowledged under the primary before it.
+    def test_initial_entries_of_a_primary_are_not_dropped(self):
+        """They may have been acknowledged under the previous primary.
 
-        Symptom: an acknowledged write is gone after the second of two
-        promotions. Sequence: a primary has a write confirmed by one replica
-        and is lost; that replica follows it; the other receives nothing, so
-        the new primary counts as lost as well; it is demoted, and the other
-        is promoted. Cause: all that a demoted primary holds beyond the others
-        was taken for unconfirmed. Proof, from walk 5549: 3970 ms u2 is
-        ordered at 1.7, u3 is at 1.6; 4134 ms u2 is demoted; 4143 ms u3 is
-        ordered at 1.6, with u2 at 1.7.
+        Guards against losing an acknowledged write in the second of two
+        promotions (random walk 5549): a primary gets a write confirmed by one
+        replica and is lost, and that replica succeeds it. The other replica
+        receives nothing, so the new primary counts as lost and is demoted.
+        Its entries beyond the other log must not all count as unconfirmed.
         """
         driver = failover_support.make_lease_holder()
-        self.succeeded(driver)
+        self.promote_u2(driver)
         self.assertIsNone(driver.state.promotion)
-        chosen = self.chosen(driver, u2=Place(1, 7), u3=Place(1, 6))
+        chosen = self.choose_after_u2(driver, u2=Place(1, 7), u3=Place(1, 6))
         self.assertEqual('u2', chosen)
 
-    def test_tail_of_a_primary_of_which_nothing_is_known(self):
-        """This proxy saw no more of its lead than the list tells.
+    def test_log_tail_of_a_primary_with_unknown_start(self):
+        """The proxy knows the demoted primary's term only from the list.
 
-        Symptom, sequence: as above, but the duty changes hands before the
-        second promotion.
+        Guards against the same loss as the test above, if the promotion lease
+        changes hands before the second promotion.
         """
         driver = support.Driver()
         driver.list_upstreams(primary='u2')
         driver.open_all()
-        chosen = self.chosen(driver, u2=Place(1, 7), u3=Place(1, 6))
+        chosen = self.choose_after_u2(driver, u2=Place(1, 7), u3=Place(1, 6))
         self.assertEqual('u2', chosen)
 
     def test_unconfirmed_tail_of_a_primary_that_was_followed(self):
-        """Who holds an entry of its term holds all that it began with."""
+        """A member with an entry of its term holds all its initial entries."""
         driver = support.Driver()
         driver.list_upstreams(primary='u2')
         driver.open_all()
-        chosen = self.chosen(driver, u2=Place(2, 9), u3=Place(2, 8))
+        chosen = self.choose_after_u2(driver, u2=Place(2, 9), u3=Place(2, 8))
         self.assertEqual('u3', chosen)
--- a/topazring/core/synchronous/tests/test_promotion_lease.py
+++ b/topazring/core/synchronous/tests/test_promotion_lease.py
@@ -1,4 +1,4 @@
-"""Hold the duty to promote as one of many."""
+"""Test the promotion lease, held by one of many proxies."""
 
 import testtools
 
@@ -11,23 +11,23 @@
 OrderResult = messages.OrderResult
 
 
-def yielded(outs: list) -> list[messages.YieldPromotionLease]:
-    """Return what gives the duty up."""
+def lease_yields(outs: list) -> list[messages.YieldPromotionLease]:
+    """Return the messages that yield the promotion lease."""
     return [
         out for out in outs if isinstance(out, messages.YieldPromotionLease)
     ]
 
 
-class DutyTest(testtools.TestCase):
-    """Holders of the duty do not get in each other's way."""
+class PromotionLeaseTest(testtools.TestCase):
+    """Consecutive lease holders do not interfere with each other."""
 
     def test_new_holder_fences_earlier_orders(self):
         """An order of a holder that died may arrive seconds later.
 
-        Symptom: writes that were acknowledged after a failed failover are
-        gone. Sequence: a holder orders a promotion and dies; the order gets
-        stuck; the primary is back and acknowledges; the order is carried
-        out. Cause: nobody used a higher token since.
+        Guards against losing writes that were acknowledged after a failed
+        failover: a holder orders a promotion and dies, and the order is
+        delayed. The primary returns and acknowledges writes, and then the
+        order is carried out because no higher token was used since.
         """
         driver = support.Driver().ready()
         driver.post(messages.PromotionLeaseSeen(True, 200))
@@ -37,14 +37,14 @@
         self.assertGreater(order.token, 200)
 
     def test_old_proof_fences_nothing(self):
-        """A proof from before a pause may be out of date.
-
-        Symptom: a replaced primary leads again, and what its successor
-        acknowledged is gone. Sequence: a guard succeeds; the proxy is
-        suspended before it reads the answer; another holder promotes; the
-        proxy wakes with the duty and reads the answer first; its order for
-        the present primary names the replaced one. Cause: taking the answer
-        for the present, for it was read before the timer was due.
+        """A leadership proof from before a pause may be outdated.
+
+        Guards against a replaced primary that leads again, which loses the
+        writes that its successor acknowledged: a leadership check succeeds,
+        but the proxy is suspended before it reads the reply, and another
+        holder promotes. The proxy resumes, still holding the lease, and reads
+        the reply before its timer is due. Its fencing order would then name
+        the replaced primary.
         """
         driver = support.Driver().ready()
         driver.tick(400)
@@ -54,7 +54,7 @@
         self.assertEqual([], support.orders(outs))
 
     def test_pause_is_noticed_before_the_first_message(self):
-        """What came during a pause is read before the timer is due."""
+        """Replies received during a pause are read before the timer is due."""
         driver = failover_support.make_lease_holder()
         driver.tick(400)
         driver.now_ms += 3000
@@ -69,45 +69,45 @@
         outs += driver.tick(400)
         self.assertEqual([], support.orders(outs))
 
-    def test_woken_holder_does_nothing(self):
-        """A holder that stood still may have been followed.
+    def test_resumed_holder_does_nothing(self):
+        """A holder that was suspended may have been replaced.
 
-        Symptom: a group without a primary. Sequence: a holder is suspended,
-        another promotes; the first wakes, finds writes unconfirmed, demotes
-        the new primary, and its order is refused. Cause: acting on a duty
-        that was not confirmed again.
+        Guards against a group without a primary: a holder is suspended and
+        another one promotes. The first resumes, finds writes unconfirmed and
+        demotes the new primary, and its own order is refused. It must not act
+        before its lease is confirmed again.
         """
         driver = failover_support.make_lease_holder()
         driver.tick(20, paused_ms=1500)
         self.assertFalse(driver.state.holds_promotion_lease)
 
     def test_holder_that_reaches_no_replica_yields(self):
-        """It is on the wrong side of a partition.
+        """A holder on the wrong side of a partition yields the lease.
 
-        Symptom: no writes for three seconds after a partition. Sequence: the
-        holder of the duty is cut off with the primary; it tries again and
-        again; a proxy on the other side could promote. Cause: holding on to
-        a duty that one cannot do.
+        Guards against three seconds without writes after a partition: the
+        lease holder is cut off together with the primary and retries again
+        and again, although a proxy on the other side could promote.
         """
         driver = failover_support.make_lease_holder()
         outs = failover_support.lose_primary(driver) + driver.tick(900)
-        yields = yielded(outs)
+        yields = lease_yields(outs)
         self.assertEqual(1, len(yields))
 
     def test_other_proxies_promote_nobody(self):
-        """Without the duty a lost primary is only searched for."""
+        """Without the lease a proxy only searches for the primary."""
         driver = support.Driver().ready()
         outs = failover_support.lose_primary(driver)
         self.assertEqual([], support.orders(outs))
         self.assertIsNone(driver.state.promotion)
 
-    def test_new_holder_resumes_what_was_left_paused(self):
-        """A holder that died between its steps leaves replicas paused.
+    def test_new_holder_resumes_members_left_paused(self):
+        """A holder that died during an attempt leaves replicas paused.
 
-        Symptom: acknowledged writes are gone after a failover. Sequence: an
-        order is late; the duty changes hands; the new holder resumes the
-        replicas; one confirms a write of the primary that is back; the order
-        is carried out. Cause: resuming before the order was fenced off.
+        Guards against losing acknowledged writes in a failover: an order is
+        delayed and the lease changes hands. The new holder resumes the
+        replicas, one of them confirms a write of the primary that has
+        returned, and the order is carried out. The replicas must not be
+        resumed before the order is fenced off.
         """
         driver = support.Driver().ready()
         driver.post(messages.PromotionLeaseSeen(True, 100))
@@ -128,10 +128,10 @@
 
 
 class AnotherHolderTest(testtools.TestCase):
-    """A holder that is cut off from the platform's store may be overtaken."""
+    """A holder that is cut off from the store may have been replaced."""
 
     def paused_by_another(self, driver: support.Driver) -> list:
-        """Have both replicas say that they are paused; let time pass."""
+        """Have both replicas report that they are paused; let time pass."""
         outs = []
         for name in ('u2', 'u3'):
             upstream = driver.state.upstreams[name]
@@ -143,17 +143,15 @@
         return outs
 
     def test_yields_where_replicas_are_paused_by_another(self):
-        """Only a holder pauses, and this one did not.
-
-        Symptom: an order with a lower token than one that the platform had
-        seen; where nobody checks tokens it is carried out. Sequence: the
-        holder is cut off from the store with some proxies; another gains the
-        duty, and pauses the replicas of a leaving primary; to the first it
-        looks as if no replica followed that, and the peers that it asks know
-        of no successor. Cause: that somebody else had paused them was not
-        looked at. Proof, from the log: 22.845 s germiston-1 orders with token
-        40002; 23.221 s sasolburg-2 considers a promotion, `no replica follows
-        it`; 23.232 s it orders with token 20003.
+        """Only a lease holder pauses members, and this proxy paused none.
+
+        Guards against an order with a lower token than one that the platform
+        has seen, which is carried out if tokens are not checked: the holder
+        is cut off from the store together with some proxies. Another gains
+        the lease and pauses the replicas of a leaving primary. To the first
+        holder it looks as if no replica follows that primary, and its peers
+        report no new primary. In one run it sent an order with token 20003
+        0.4 s after the new holder's order with token 40002.
         """
         driver = failover_support.make_lease_holder()
         for _ in range(5):
@@ -164,22 +162,22 @@
         outs = self.paused_by_another(driver)
         self.assertEqual(
             ['another promotes'],
-            [out.why for out in yielded(outs)],
+            [out.why for out in lease_yields(outs)],
         )
         self.assertFalse(driver.state.holds_promotion_lease)
 
-    def test_what_a_holder_before_left_paused(self):
-        """A new holder resumes that, and goes on."""
+    def test_members_left_paused_by_a_previous_holder(self):
+        """A new holder resumes these members and keeps the lease."""
         driver = support.Driver().ready()
         driver.post(messages.PromotionLeaseSeen(True, 100))
         outs = self.paused_by_another(driver)
-        self.assertEqual([], yielded(outs))
+        self.assertEqual([], lease_yields(outs))
         self.assertTrue(driver.state.holds_promotion_lease)
 
-    def test_its_own_pauses(self):
-        """Those of an attempt of its own, and what that left paused."""
+    def test_members_paused_by_the_holder_itself(self):
+        """Members paused by a holder's own attempt do not make it yield."""
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         outs = failover_support.answer_control_commands(driver)
         outs += self.paused_by_another(driver)
-        self.assertEqual([], yielded(outs))
+        self.assertEqual([], lease_yields(outs))
