--- a/topazring/core/completion.py
+++ b/topazring/core/completion.py
@@ -17,7 +17,7 @@
     'lose_transaction_of',
     'queue_for',
     'refuse',
-    'reopen',
+    'resolve_in_doubt',
     'requeue',
 ]
 
@@ -61,7 +61,7 @@
     return give_up(state, state.work[evicted], Reason.BACKLOG, after_ms)
 
 
-def reopen(
+def resolve_in_doubt(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
--- a/topazring/core/failover.py
+++ b/topazring/core/failover.py
@@ -73,7 +73,7 @@
     if not first and now_ms - state.told_suspicion_ms < TELL_MS:
         return []
     state.told_suspicion_ms = now_ms
-    return [messages.TellSuspicion(state.view.term, suspects)]
+    return [messages.SendSuspicion(state.view.term, suspects)]
 
 
 def _want_grants(state: states.OwnerState, now_ms: int) -> Out:
@@ -83,14 +83,14 @@
     if len(usable) >= GRANTS_WANTED:
         return []
     state.asked_grants_ms = now_ms
-    return [messages.NeedGrants(state.view.term)]
+    return [messages.RequestGrants(state.view.term)]
 
 
 def _consider(state: states.OwnerState, now_ms: int, why: str) -> Out:
     outs: Out = []
     if state.suspected_ms is None:
         state.suspected_ms = now_ms
-        outs.append(messages.Explained('suspects its primary', why))
+        outs.append(messages.RecordDecision('suspects its primary', why))
     agreed, grounds = _agreed(state, now_ms)
     hold_ms = STAGGER_MS * _rank(state)
     ready = now_ms >= max(
@@ -152,8 +152,10 @@
         term, now_ms, tuple(state.view.upstreams), avoid, why
     )
     state.counters['promotions_begun'] += 1
-    began = messages.Explained(f'begins a promotion under term {term}', why)
-    return [began, messages.TellSuspicion(term, True), *fences]
+    began = messages.RecordDecision(
+        f'begins a promotion under term {term}', why
+    )
+    return [began, messages.SendSuspicion(term, True), *fences]
 
 
 def fence_replied(
@@ -193,8 +195,8 @@
         state.counters['promotions_won'] += 1
         took_ms = now_ms - attempt.began_ms
         return [
-            messages.PrimaryChosen(attempt.term, attempt.chosen),
-            messages.Explained(
+            messages.RecordPrimary(attempt.term, attempt.chosen),
+            messages.RecordDecision(
                 f'promoted {attempt.chosen} under term {attempt.term} in '
                 f'{took_ms} ms',
                 attempt.why,
@@ -206,7 +208,7 @@
         state.retry_promotion_ms = now_ms + pause_ms
         state.counters['promotions_failed'] += 1
         return [
-            messages.Explained(
+            messages.RecordDecision(
                 f'gave up the promotion under term {attempt.term}',
                 f'fenced {sorted(attempt.fenced)}, chose '
                 f'{attempt.chosen or "none"}, highest term seen '
--- a/topazring/core/forwarding.py
+++ b/topazring/core/forwarding.py
@@ -6,7 +6,15 @@
 from topazring.core import outcomes
 from topazring.core import requests
 
-__all__ = ['Finish', 'Pause', 'Plan', 'Send', 'begin', 'next_step', 'note']
+__all__ = [
+    'Finish',
+    'Pause',
+    'Plan',
+    'Send',
+    'make_plan',
+    'next_step',
+    'record_result',
+]
 
 Kind = requests.Kind
 Reason = outcomes.Reason
@@ -61,7 +69,7 @@
     outcome: outcomes.Outcome
 
 
-def begin(
+def make_plan(
     kind: Kind,
     repeatable: bool,
     deadline_ms: int,
@@ -108,12 +116,12 @@
     return outcomes.NotRun(reason, 200)
 
 
-def note(
-    plan: Plan, owner: str, result: outcomes.Outcome | messages.Lost
+def record_result(
+    plan: Plan, owner: str, result: outcomes.Outcome | messages.ConnectionLost
 ) -> None:
     """Take in what an owner answered, or that it was lost."""
     plan.tried.append(owner)
-    if isinstance(result, messages.Lost):
+    if isinstance(result, messages.ConnectionLost):
         _note_lost(plan, result)
         return
     bound = plan.kind in ON_CONNECTION and not plan.settling
@@ -125,7 +133,7 @@
                 return
         case outcomes.Unknown(reason=reason) if reason in OWNER_CANNOT:
             # Another owner may still reach the primary and find out.
-            _note_lost(plan, messages.Lost(reason, True))
+            _note_lost(plan, messages.ConnectionLost(reason, True))
             return
         case outcomes.NotRun(reason=reason) if plan.maybe_ran:
             if not plan.settling and reason is not Reason.CANCELLED:
@@ -134,7 +142,7 @@
     plan.final = result
 
 
-def _note_lost(plan: Plan, lost: messages.Lost) -> None:
+def _note_lost(plan: Plan, lost: messages.ConnectionLost) -> None:
     plan.reason = lost.reason
     if plan.kind in (Kind.EXECUTE, Kind.ROLLBACK):
         # The owner closes a transaction's connection with its entry's link,
--- a/topazring/core/grants.py
+++ b/topazring/core/grants.py
@@ -9,7 +9,7 @@
 import dataclasses
 import json
 
-__all__ = ['GroupRecord', 'allot', 'choose_primary', 'parse', 'terms_of']
+__all__ = ['GroupRecord', 'grant_terms', 'record_primary', 'parse', 'terms_of']
 
 # Terms to an owner at a time: a second and third failure within one outage
 # of the service still find a usable term.
@@ -44,7 +44,7 @@
     return tuple(term for term, holder in record.grants if holder == owner)
 
 
-def allot(
+def grant_terms(
     record: GroupRecord,
     owner: str,
     above: int,
@@ -81,7 +81,7 @@
         term += 1
 
 
-def choose_primary(
+def record_primary(
     record: GroupRecord, term: int, primary: str, change_id: str
 ) -> GroupRecord | None:
     """Record a promotion; None if a later one is recorded already."""
--- a/topazring/core/heard.py
+++ b/topazring/core/heard.py
@@ -38,7 +38,7 @@
     if state.view.primary:
         state.handing_over_since_ms = None
         outs.append(
-            messages.Explained(
+            messages.RecordDecision(
                 f'{state.view.primary} leads term {state.view.term}',
                 f'seen at {state.name}',
             )
@@ -57,7 +57,7 @@
         work = state.work.get(waiter.key)
         if work is not None:
             reason = outcomes.Reason.REPLACED
-            outs += completion.reopen(state, now_ms, work, reason)
+            outs += completion.resolve_in_doubt(state, now_ms, work, reason)
     for key, transaction in list(state.transactions.items()):
         if transaction.term < state.view.term and not transaction.busy:
             outs += expiry.withdraw(state, now_ms, messages.Withdraw(key))
@@ -65,7 +65,7 @@
 
 
 def status_seen(
-    state: states.OwnerState, now_ms: int, message: messages.StatusSeen
+    state: states.OwnerState, now_ms: int, message: messages.StatusReceived
 ) -> Out:
     """Take in the reply to a heartbeat or to a round."""
     status = message.status
@@ -81,7 +81,9 @@
     return outs
 
 
-def _sample(state: states.OwnerState, message: messages.StatusSeen) -> None:
+def _sample(
+    state: states.OwnerState, message: messages.StatusReceived
+) -> None:
     """Have the age of the primary's place confirmed by the next round."""
     status = message.status
     current = status.accepted_term == state.view.term and status.leads
@@ -121,7 +123,7 @@
 
 
 def peer_suspects(
-    state: states.OwnerState, now_ms: int, message: messages.PeerSuspects
+    state: states.OwnerState, now_ms: int, message: messages.PeerSuspicion
 ) -> Out:
     """Take in what another owner thinks of the primary."""
     if message.term < state.view.term:
@@ -137,7 +139,7 @@
 
 
 def owners_seen(
-    state: states.OwnerState, now_ms: int, message: messages.OwnersSeen
+    state: states.OwnerState, now_ms: int, message: messages.OwnersChanged
 ) -> Out:
     """Take in who the live owners are."""
     state.owners = message.owners
@@ -145,7 +147,7 @@
 
 
 def grants_seen(
-    state: states.OwnerState, now_ms: int, message: messages.GrantsSeen
+    state: states.OwnerState, now_ms: int, message: messages.GrantsReceived
 ) -> Out:
     """Take in the terms that are this owner's alone."""
     usable = {term for term in message.terms if term > state.view.term}
--- a/topazring/core/members.py
+++ b/topazring/core/members.py
@@ -9,11 +9,11 @@
     'Member',
     'Members',
     'candidates_of',
-    'reachable',
-    'saw_answer',
-    'saw_failure',
-    'take_leaving',
-    'take_list',
+    'is_reachable',
+    'record_answer',
+    'record_failure',
+    'record_departure',
+    'apply_list',
     'watchers_of',
 ]
 
@@ -49,7 +49,7 @@
     failed_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def take_list(
+def apply_list(
     members: Members, listed: collections.abc.Iterable[Member]
 ) -> None:
     """Take in the platform's list; whom peers saw leave stays gone."""
@@ -67,7 +67,7 @@
     members.listed = current
 
 
-def take_leaving(members: Members, name: str, incarnation: str) -> bool:
+def record_departure(members: Members, name: str, incarnation: str) -> bool:
     """Take a peer's word that it leaves; say whether it is news."""
     if incarnation in members.left:
         return False
@@ -84,17 +84,17 @@
         del members.left[next(iter(members.left))]
 
 
-def saw_failure(members: Members, name: str, now_ms: int) -> None:
+def record_failure(members: Members, name: str, now_ms: int) -> None:
     """Note that a peer could not be reached or went silent."""
     members.failed_ms[name] = now_ms
 
 
-def saw_answer(members: Members, name: str) -> None:
+def record_answer(members: Members, name: str) -> None:
     """Note that a peer answered."""
     members.failed_ms.pop(name, None)
 
 
-def reachable(members: Members, name: str, now_ms: int) -> bool:
+def is_reachable(members: Members, name: str, now_ms: int) -> bool:
     """Say whether a peer is worth trying."""
     failed_ms = members.failed_ms.get(name)
     return failed_ms is None or now_ms - failed_ms > FAILED_MS
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -58,12 +58,12 @@
 handles(messages.Submit)(arrival.submit)
 handles(messages.Withdraw)(expiry.withdraw)
 handles(messages.Abandon)(expiry.abandon)
-handles(messages.StatusSeen)(heard.status_seen)
+handles(messages.StatusReceived)(heard.status_seen)
 handles(messages.LinkOpened)(heard.link_opened)
 handles(messages.ProbeFailed)(heard.probe_failed)
-handles(messages.PeerSuspects)(heard.peer_suspects)
-handles(messages.OwnersSeen)(heard.owners_seen)
-handles(messages.GrantsSeen)(heard.grants_seen)
+handles(messages.PeerSuspicion)(heard.peer_suspects)
+handles(messages.OwnersChanged)(heard.owners_seen)
+handles(messages.GrantsReceived)(heard.grants_seen)
 handles(messages.UpstreamsLeaving)(heard.leaving_seen)
 handles(messages.FenceReply)(failover.fence_replied)
 handles(messages.LeadReply)(failover.lead_replied)
@@ -109,5 +109,7 @@
         if now_ms - state.asked_ms.get(name, -10_000) < period_ms:
             continue
         state.asked_ms[name] = now_ms
-        outs.append(messages.AskStatus(name, 0, 0, log_positions.ORIGIN, 0))
+        outs.append(
+            messages.RequestStatus(name, 0, 0, log_positions.ORIGIN, 0)
+        )
     return outs
--- a/topazring/core/results.py
+++ b/topazring/core/results.py
@@ -40,7 +40,7 @@
             return _refused(state, now_ms, work, message.result)
         case messages.SqlFailed():
             return _sql_failed(state, work, message.result)
-        case messages.Lost():
+        case messages.ConnectionLost():
             return _lost(state, now_ms, work, message.result)
 
 
@@ -88,7 +88,9 @@
         return completion.finish(state, work, done)
     work.result = result
     if work.term != state.view.term:
-        return completion.reopen(state, now_ms, work, Reason.REPLACED)
+        return completion.resolve_in_doubt(
+            state, now_ms, work, Reason.REPLACED
+        )
     work.phase = states.Phase.CONFIRMING
     rounds.add_waiter(
         state.round_state, work.request.key, result.place, work.sent_ms
@@ -180,7 +182,7 @@
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
-    result: messages.Lost,
+    result: messages.ConnectionLost,
 ) -> Out:
     kind = work.request.kind
     if kind in (Kind.EXECUTE, Kind.ROLLBACK):
@@ -195,7 +197,7 @@
         state.busy_until_ms[work.upstream] = now_ms + UNREACHED_PAUSE_MS
         return completion.requeue(state, now_ms, work, result.reason, False)
     if kind in requests.WRITES:
-        return completion.reopen(state, now_ms, work, result.reason)
+        return completion.resolve_in_doubt(state, now_ms, work, result.reason)
     if kind is Kind.READ:
         work.maybe_ran = True
         work.primary_only = False
--- a/topazring/core/revisions.py
+++ b/topazring/core/revisions.py
@@ -3,7 +3,14 @@
 import collections.abc
 import dataclasses
 
-__all__ = ['Change', 'Revisions', 'delta', 'lacking', 'merge', 'note_gap']
+__all__ = [
+    'Change',
+    'Revisions',
+    'delta',
+    'missing_changes',
+    'merge',
+    'record_compaction',
+]
 
 # A delta is cut after so many bytes of values; the rest follows.
 DELTA_BYTES = 48_000
@@ -68,7 +75,7 @@
     return revisions.seen, later
 
 
-def note_gap(
+def record_compaction(
     revisions: Revisions, upto: int, present: collections.abc.Iterable[Change]
 ) -> list[Change]:
     """Return the ends of keys that are missing where all was read at once.
@@ -88,7 +95,9 @@
     ]
 
 
-def lacking(revisions: Revisions, since: int) -> tuple[bool, list[Change]]:
+def missing_changes(
+    revisions: Revisions, since: int
+) -> tuple[bool, list[Change]]:
     """Return what someone lacks at `since`, and whether that is everything.
 
     Everything has to be compared by someone who stands in a gap: it may know
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -56,7 +56,9 @@
     next_round: int = 1
     waiters: dict[int, Waiter] = dataclasses.field(default_factory=dict)
     # For each replica, the rounds asked and not yet answered, with the time.
-    asked: dict[str, dict[int, int]] = dataclasses.field(default_factory=dict)
+    in_flight: dict[str, dict[int, int]] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def add_waiter(
@@ -81,18 +83,18 @@
     """Remove and return all waiters: their term is over."""
     waiters = list(rounds.waiters.values())
     rounds.waiters.clear()
-    rounds.asked.clear()
+    rounds.in_flight.clear()
     return waiters
 
 
 def forget_asks(rounds: Rounds, upstream: str) -> None:
     """Forget what was asked on a control connection that was lost."""
-    rounds.asked.pop(upstream, None)
+    rounds.in_flight.pop(upstream, None)
 
 
 def ask(
     rounds: Rounds, now_ms: int, replicas: list[str]
-) -> list[messages.AskStatus]:
+) -> list[messages.RequestStatus]:
     """Begin a round with each replica that has room and news to confirm."""
     if not rounds.waiters:
         return []
@@ -104,9 +106,11 @@
             continue
         needed = [w.place for w in waiting if w.needs_place]
         place = max(needed, default=log_positions.ORIGIN)
-        rounds.asked.setdefault(name, {})[round_id] = now_ms
+        rounds.in_flight.setdefault(name, {})[round_id] = now_ms
         asks.append(
-            messages.AskStatus(name, round_id, rounds.term, place, ASK_WAIT_MS)
+            messages.RequestStatus(
+                name, round_id, rounds.term, place, ASK_WAIT_MS
+            )
         )
     if asks:
         rounds.next_round += 1
@@ -115,7 +119,7 @@
 
 def _waiting_for(rounds: Rounds, now_ms: int, name: str) -> list[Waiter]:
     """Return the waiters that a new ask to this replica would serve."""
-    asked = rounds.asked.get(name, {})
+    asked = rounds.in_flight.get(name, {})
     expired_ms = now_ms - ASK_WAIT_MS - ASK_GRACE_MS
     for round_id in [r for r, at_ms in asked.items() if at_ms < expired_ms]:
         del asked[round_id]
@@ -139,7 +143,7 @@
     accepted the term may still hold a longer tail of an older one, which
     says nothing about the entries of this term.
     """
-    rounds.asked.get(status.upstream, {}).pop(round_id, None)
+    rounds.in_flight.get(status.upstream, {}).pop(round_id, None)
     if status.accepted_term != rounds.term or status.leads:
         return []
     confirmed = []
--- a/topazring/core/tests/test_limits.py
+++ b/topazring/core/tests/test_limits.py
@@ -159,10 +159,10 @@
     def setUp(self):
         super().setUp()
         self.session = tokens.Session('ballinure', 'calc1', 3, 7)
-        self.token = tokens.write_token(self.session, b'new')
+        self.token = tokens.sign_token(self.session, b'new')
 
     def read(self, token, keys=(b'old', b'new'), database='calc1'):
-        return tokens.read_token(token, list(keys), 'ballinure', database)
+        return tokens.verify_token(token, list(keys), 'ballinure', database)
 
     def test_round_trip(self):
         self.assertEqual(self.session, self.read(self.token))
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -86,7 +86,7 @@
         for key in range(20):
             rounds.add_waiter(self.state, key, Place(2, key + 1), 0)
             self.ask()
-        for asked in self.state.asked.values():
+        for asked in self.state.in_flight.values():
             self.assertEqual(rounds.ASKS_IN_FLIGHT, len(asked))
 
     def test_partial_reply_confirms_the_earlier_place(self):
@@ -122,7 +122,7 @@
         first = owner.step(state, 0, messages.Tick())
         again = owner.step(state, 30, messages.LinkOpened('u2'))
         asked = [
-            [m.upstream for m in outs if isinstance(m, messages.AskStatus)]
+            [m.upstream for m in outs if isinstance(m, messages.RequestStatus)]
             for outs in (first, again)
         ]
         self.assertIn('u2', asked[0])
--- a/topazring/core/tests/world.py
+++ b/topazring/core/tests/world.py
@@ -59,7 +59,7 @@
         self.incarnations = dict.fromkeys(OWNERS, 0)
         self.record = grants.GroupRecord()
         self.store = 'up'
-        self.parked: list[tuple[str, messages.AskStatus, object]] = []
+        self.parked: list[tuple[str, messages.RequestStatus, object]] = []
         self.running: dict[tuple[str, int, int], str] = {}
         self.closed: set[tuple[str, int, int]] = set()
         self.opened: dict[tuple[str, int, int], tuple[str, int]] = {}
@@ -70,7 +70,7 @@
         self.next_key = 1
         self.oracle = oracles.Oracle(self.logs, self.sessions)
         for name in OWNERS:
-            self.post(name, messages.OwnersSeen(OWNERS))
+            self.post(name, messages.OwnersChanged(OWNERS))
 
     def _make_owner(self, name: str) -> states.OwnerState:
         limits = states.Limits(slots=SLOTS, connections=6, queue=QUEUE)
@@ -99,7 +99,7 @@
     def see_owners(self, name: str, count: int) -> None:
         """Have an owner's list of the owners differ from the others'."""
         order = self.rng.sample(OWNERS, len(OWNERS))
-        self.post(name, messages.OwnersSeen(tuple(order[:count])))
+        self.post(name, messages.OwnersChanged(tuple(order[:count])))
 
     def restart(self, name: str) -> None:
         """Replace an owner's process by one that knows nothing."""
@@ -113,7 +113,7 @@
                 session.bound = None
         # Its callers see their connection end: the fate is open.
         self.oracle.forget(name)
-        self.post(name, messages.OwnersSeen(OWNERS))
+        self.post(name, messages.OwnersChanged(OWNERS))
 
     def deliver(self, index: int) -> None:
         """Deliver one message, in any order."""
@@ -267,7 +267,7 @@
                 self._execute(name, out)
             case messages.Answer():
                 self.oracle.answered(self.now, name, out)
-            case messages.AskStatus():
+            case messages.RequestStatus():
                 mail = Mail(lambda: self._ask(name, out))
                 mail.lost = self._loser(name, out.upstream)
                 self.mail.append(mail)
@@ -279,14 +279,14 @@
             case messages.CloseTransaction():
                 key = (name, self.incarnations[name], out.transaction)
                 self.opened.pop(key, None)
-            case messages.TellSuspicion():
+            case messages.SendSuspicion():
                 for peer in OWNERS:
                     if peer != name:
-                        word = messages.PeerSuspects(
+                        word = messages.PeerSuspicion(
                             name, out.term, out.suspects
                         )
                         self.mail.append(Mail(self._poster(peer, word)))
-            case messages.NeedGrants():
+            case messages.RequestGrants():
                 self._grant(name, out.above_term)
 
     def _poster(self, name: str, message: object):
@@ -306,11 +306,13 @@
         if self.store == 'down':
             return
         claimant = f'{name}{self.incarnations[name]}'
-        self.record = grants.allot(self.record, claimant, above, 3, 'x')
+        self.record = grants.grant_terms(self.record, claimant, above, 3, 'x')
         if self.store == 'lossy' and self.rng.random() < 0.5:
             return
         terms = grants.terms_of(self.record, claimant)
-        self.mail.append(Mail(self._poster(name, messages.GrantsSeen(terms))))
+        self.mail.append(
+            Mail(self._poster(name, messages.GrantsReceived(terms)))
+        )
 
     def _execute(self, name: str, out: messages.Execute) -> None:
         key = (name, out.key, out.attempt)
@@ -336,7 +338,7 @@
                 self.closed.add(transaction)
             elif out.kind is Kind.BEGIN:
                 self.opened.pop(transaction, None)
-            finish(messages.Lost(Reason.CONNECTION_LOST, True))
+            finish(messages.ConnectionLost(Reason.CONNECTION_LOST, True))
 
         def arrive() -> None:
             if out.kind is Kind.BEGIN and key not in self.running:
@@ -366,7 +368,7 @@
         log = self.logs[out.upstream]
         request = out.request
         if out.at_replica:
-            if logs.last_place(log) < out.wait_place:
+            if logs.last_place(log) < out.wait_position:
                 return messages.Refused(Reason.REPLICA_BEHIND)
         elif not log.leads or log.accepted_term != out.term:
             return messages.Refused(
@@ -426,21 +428,21 @@
             log.leads,
         )
 
-    def _ask(self, name: str, out: messages.AskStatus) -> None:
+    def _ask(self, name: str, out: messages.RequestStatus) -> None:
         reply = self._replier(name, out)
         if self._held(out):
             reply()
         else:
             self.parked.append((self.now + out.wait_ms, out, reply))
 
-    def _replier(self, name: str, out: messages.AskStatus):
+    def _replier(self, name: str, out: messages.RequestStatus):
         sent_ms = self.now
         incarnation = self.incarnations[name]
 
         def reply() -> None:
             if self.incarnations[name] != incarnation:
                 return
-            seen = messages.StatusSeen(
+            seen = messages.StatusReceived(
                 self._status(out.upstream), out.round_id, sent_ms
             )
             mail = Mail(self._poster(name, seen))
@@ -449,7 +451,7 @@
 
         return reply
 
-    def _held(self, out: messages.AskStatus) -> bool:
+    def _held(self, out: messages.RequestStatus) -> bool:
         log = self.logs[out.upstream]
         last = logs.last_place(log)
         return (
@@ -497,7 +499,7 @@
         for name in list(self.paused):
             self.pause(name)
         for name in OWNERS:
-            self.post(name, messages.OwnersSeen(OWNERS))
+            self.post(name, messages.OwnersChanged(OWNERS))
         self.calm(400)
         unanswered = [a for a in self.oracle.asked.values() if not a.answered]
         if unanswered:
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -13,7 +13,7 @@
     'make_view',
     'majority',
     'observe',
-    'staleness_place',
+    'staleness_position',
 ]
 
 SAMPLES_KEPT = 512
@@ -126,7 +126,7 @@
             seen.awaited = sample
 
 
-def staleness_place(
+def staleness_position(
     view: GroupView, now_ms: int, max_staleness_ms: int
 ) -> log_positions.LogPosition | None:
     """Return the place that a read of that age has to reach.
