--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -15,17 +15,17 @@
 
 __all__ = [
     'Attempt',
-    'members_to_query',
     'choose_primary',
     'forget_member',
     'forget_reports',
     'has_fresh_list',
-    'is_blocked',
     'has_fresh_report',
-    'required_members',
-    'paused_log_end',
     'has_receiving_replica',
+    'is_blocked',
+    'members_to_query',
+    'paused_log_end',
     'record_report',
+    'required_members',
 ]
 
 # A replica that restarts loses its pause and confirms writes again. Its report
@@ -92,9 +92,9 @@
 def required_members(state: states.GroupState, attempt: Attempt) -> list[str]:
     """Return the members that must report before a new primary is chosen.
 
-    Once it is chosen, return all members but the chosen one; they stay paused
-    until it leads. A leaving primary that was demoted reports itself what
-    its successor has to hold, so only these two are needed then.
+    Once it is chosen, these are the other members, which stay paused until it
+    leads. A leaving primary that was demoted itself reports what its successor
+    has to hold, so only these two are needed then.
     """
     if attempt.demoting_since_ms is not None and not attempt.chosen:
         names = (attempt.old_primary, attempt.successor)
--- a/topazring/core/synchronous/connections.py
+++ b/topazring/core/synchronous/connections.py
@@ -14,21 +14,21 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'handle_closed',
-    'dial_beyond_share',
+    'apply_larger_share',
     'close_connection',
+    'close_excess',
     'close_idle',
-    'open_missing',
-    'apply_larger_share',
+    'dial_beyond_share',
+    'handle_closed',
+    'handle_opened',
     'has_usable_connection',
     'is_excluded_by_limit',
     'mark_idle',
-    'handle_opened',
+    'open_missing',
     'reserve_of',
     'send',
-    'update_share',
     'share_of',
-    'close_excess',
+    'update_share',
 ]
 
 # An upstream drops the connections of an instance that lost power after three
@@ -398,12 +398,12 @@
 def send(
     connection: states.Connection,
     now_ms: int,
-    errand: states.Purpose,
+    purpose: states.Purpose,
     commands: tuple[statements.Command, ...],
 ) -> messages.Send:
     """Send commands on a connection and record their purpose."""
     connection.phase = states.Phase.BUSY
-    connection.purpose = errand
+    connection.purpose = purpose
     connection.commands = commands
     connection.sent_ms = now_ms
     return messages.Send(connection.number, commands)
--- a/topazring/core/synchronous/listing.py
+++ b/topazring/core/synchronous/listing.py
@@ -17,12 +17,12 @@
     'ProxyRecord',
     'Record',
     'UpstreamRecord',
-    'remove_expired',
-    'reconcile',
+    'apply_record',
     'hop_addresses',
     'proxies_of',
-    'apply_record',
+    'reconcile',
     'record_removal',
+    'remove_expired',
     'upstreams_of',
 ]
 
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -248,7 +248,8 @@
 ) -> list | None:
     """End an attempt that succeeded, failed or is no longer needed.
 
-    Return None if the attempt is to continue.
+    Return the resulting messages, or None if the attempt is to take its next
+    step as usual.
     """
     primary = state.primary
     is_renewed = attempt.chosen == attempt.old_primary and attempt.accepted
--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -5,10 +5,10 @@
 from topazring.core.synchronous import state as states
 
 __all__ = [
-    'is_another_promoting',
-    'handle_lease_change',
     'fence_earlier_orders',
     'handle_fence_result',
+    'handle_lease_change',
+    'is_another_promoting',
 ]
 
 # A leadership check is answered within a few ms and a promotion takes at least
--- a/topazring/core/synchronous/promotion_order.py
+++ b/topazring/core/synchronous/promotion_order.py
@@ -10,8 +10,8 @@
 from topazring.core.synchronous import state as states
 
 __all__ = [
-    'order_promotion',
     'handle_order_result',
+    'order_promotion',
     'request_list',
     'resend_order',
 ]
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -234,7 +234,7 @@
     """The promoting proxy queries all members that are listed by then."""
 
     def lost(self) -> support.Driver:
-        """Lose the primary; the list is read when the test says so."""
+        """Lose the primary; the test itself decides when the list is read."""
         driver = failover_support.make_lease_holder()
         driver.reads_list = False
         failover_support.lose_primary(driver)
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -271,7 +271,7 @@
         self.assertEqual('u2', chosen)
 
     def test_log_tail_of_a_primary_with_unknown_start(self):
-        """The proxy knows the demoted primary's term only from the list.
+        """The proxy has the demoted primary's term only from the list.
 
         Guards against the same loss as the test above, if the promotion lease
         changes hands before the second promotion.
