--- a/topazring/bench/ablations.py
+++ b/topazring/bench/ablations.py
@@ -13,9 +13,9 @@
 import time
 from unittest import mock
 
-from topazring.core import fates
+from topazring.core import completion
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import promotion
 from topazring.core import requests
 from topazring.core import results
@@ -90,7 +90,7 @@
     note = promotion.note_fenced
 
     def note_by_length(attempt, now_ms, reply):
-        flat = places.Place(1, reply.status.place.position)
+        flat = log_positions.LogPosition(1, reply.status.place.position)
         status = dataclasses.replace(reply.status, place=flat)
         reply = dataclasses.replace(reply, status=status)
         return note(attempt, now_ms, reply)
@@ -132,7 +132,7 @@
         if work.request.kind not in kinds or work.at_replica:
             return ran(state, now_ms, work, result)
         done = outcomes.Done(result.rows, result.place, work.upstream)
-        return fates.finish(state, work, done)
+        return completion.finish(state, work, done)
 
     return mock.patch.object(results, '_ran', ran_at_once)
 
@@ -177,11 +177,11 @@
     def reopen(state, now_ms, work, reason):
         work.result = None
         if work.request.kind is requests.Kind.READ:
-            return fates.requeue(state, now_ms, work, reason, False)
+            return completion.requeue(state, now_ms, work, reason, False)
         lost = outcomes.NotRun(reason, 50)
-        return fates.finish(state, work, lost)
+        return completion.finish(state, work, lost)
 
-    return mock.patch.object(fates, 'reopen', reopen)
+    return mock.patch.object(completion, 'reopen', reopen)
 
 
 @ablation
--- a/topazring/bench/baselines.py
+++ b/topazring/bench/baselines.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from topazring.bench import ablations
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core import routing
 from topazring.core import suspicion
 from topazring.proxy import main as proxy
@@ -43,7 +43,7 @@
     if not names:
         return None
     chosen = names[request.key % len(names)]
-    return routing.Route(chosen, places.ORIGIN, 0)
+    return routing.Route(chosen, log_positions.ORIGIN, 0)
 
 
 def unacknowledged():
--- a/topazring/core/admission.py
+++ b/topazring/core/admission.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     'FairQueue',
-    'ahead_of',
+    'count_ahead',
     'estimate_wait',
     'pop',
     'push',
@@ -26,7 +26,7 @@
     """
 
     limit: int
-    lines: dict[str, list[tuple[int, int]]] = dataclasses.field(
+    heaps: dict[str, list[tuple[int, int]]] = dataclasses.field(
         default_factory=dict
     )
     turns: collections.deque[str] = dataclasses.field(
@@ -47,16 +47,16 @@
     queue: FairQueue, organisation: str, deadline_ms: int, key: int
 ) -> int | None:
     """Add a request; return the one that has to leave for it, if any."""
-    line = queue.lines.get(organisation)
+    line = queue.heaps.get(organisation)
     if line is None:
-        line = queue.lines[organisation] = []
+        line = queue.heaps[organisation] = []
         queue.turns.append(organisation)
     heapq.heappush(line, (deadline_ms, key))
     queue.count += 1
     if queue.count <= queue.limit:
         return None
-    longest = max(queue.lines, key=lambda name: len(queue.lines[name]))
-    last = max(queue.lines[longest])
+    longest = max(queue.heaps, key=lambda name: len(queue.heaps[name]))
+    last = max(queue.heaps[longest])
     _take(queue, longest, last)
     return last[1]
 
@@ -68,7 +68,7 @@
     organisation = queue.turns[0]
     queue.turns.rotate(-1)
     _note_turn(queue, organisation, now_ms)
-    _, key = heapq.heappop(queue.lines[organisation])
+    _, key = heapq.heappop(queue.heaps[organisation])
     queue.count -= 1
     _drop_empty(queue, organisation)
     return key
@@ -86,14 +86,14 @@
 
 def remove(queue: FairQueue, organisation: str, key: int) -> None:
     """Take out a request that no longer waits."""
-    for item in queue.lines.get(organisation, ()):
+    for item in queue.heaps.get(organisation, ()):
         if item[1] == key:
             _take(queue, organisation, item)
             return
 
 
 def _take(queue: FairQueue, organisation: str, item: tuple[int, int]) -> None:
-    line = queue.lines[organisation]
+    line = queue.heaps[organisation]
     line.remove(item)
     heapq.heapify(line)
     queue.count -= 1
@@ -101,20 +101,20 @@
 
 
 def _drop_empty(queue: FairQueue, organisation: str) -> None:
-    if queue.lines[organisation]:
+    if queue.heaps[organisation]:
         return
-    del queue.lines[organisation]
+    del queue.heaps[organisation]
     queue.turns.remove(organisation)
     queue.turned_ms.pop(organisation, None)
 
 
-def ahead_of(queue: FairQueue, organisation: str) -> int:
+def count_ahead(queue: FairQueue, organisation: str) -> int:
     """Return how many requests go before a new one of an organisation.
 
     Of another's long line only as many as there are turns until its own.
     """
-    turns = len(queue.lines.get(organisation, ())) + 1
-    return sum(min(len(line), turns) for line in queue.lines.values())
+    turns = len(queue.heaps.get(organisation, ())) + 1
+    return sum(min(len(line), turns) for line in queue.heaps.values())
 
 
 def estimate_wait(
@@ -127,7 +127,7 @@
     long line waits for requests too that are yet to come: those of others
     have their turns before it. How far apart its own turns came says so.
     """
-    own = len(queue.lines.get(organisation, ()))
-    by_lines = ahead_of(queue, organisation) * service_ms / max(1, slots)
+    own = len(queue.heaps.get(organisation, ()))
+    by_lines = count_ahead(queue, organisation) * service_ms / max(1, slots)
     by_turns = own * queue.turn_ms.get(organisation, 0.0)
     return max(by_lines, by_turns)
--- a/topazring/core/arrival.py
+++ b/topazring/core/arrival.py
@@ -1,8 +1,8 @@
 """Admit a request or refuse it at once."""
 
 from topazring.core import admission
+from topazring.core import completion
 from topazring.core import expiry
-from topazring.core import fates
 from topazring.core import messages
 from topazring.core import outcomes
 from topazring.core import requests
@@ -41,13 +41,13 @@
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
-    if request.kind in fates.IN_TRANSACTION:
+    if request.kind in completion.IN_TRANSACTION:
         return _submit_in_transaction(state, work)
     refusal = _refusal_on_arrival(state, now_ms, request)
     if refusal is not None:
         after_ms = refusal.retry_after_ms
-        return fates.give_up(state, work, refusal.reason, after_ms)
-    return fates.enqueue(state, now_ms, work)
+        return completion.give_up(state, work, refusal.reason, after_ms)
+    return completion.enqueue(state, now_ms, work)
 
 
 def _submit_in_transaction(state: states.OwnerState, work: states.Work) -> Out:
@@ -64,8 +64,10 @@
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
-    lost = outcomes.NotRun(Reason.TRANSACTION_LOST, fates.LEAST_RETRY_AFTER_MS)
-    return fates.finish(state, work, lost)
+    lost = outcomes.NotRun(
+        Reason.TRANSACTION_LOST, completion.LEAST_RETRY_AFTER_MS
+    )
+    return completion.finish(state, work, lost)
 
 
 def _refusal_on_arrival(
@@ -74,24 +76,24 @@
     """Refuse what cannot make its deadline while it has cost nothing yet."""
     left_ms = request.deadline_ms - now_ms
     primary_needed = (
-        fates.queue_for(state, request, False) is state.primary_queue
+        completion.queue_for(state, request, False) is state.primary_queue
     )
     if primary_needed and expiry.is_cut_off(state, now_ms):
-        return fates.refuse(Reason.NO_PRIMARY, expiry.CUT_OFF_MS)
+        return completion.refuse(Reason.NO_PRIMARY, expiry.CUT_OFF_MS)
     reason = too_late(state, now_ms, request)
     if reason is not None:
-        return fates.refuse(reason, majority_lag(state, now_ms))
-    queue = fates.queue_for(state, request, primary_only=False)
+        return completion.refuse(reason, majority_lag(state, now_ms))
+    queue = completion.queue_for(state, request, primary_only=False)
     wait_ms = admission.estimate_wait(
         queue, request.organisation, state.limits.slots, state.service_ms
     )
     wait_ms = wait_ms * CAUTION + _needed_ms(state, now_ms, request.kind)
     if wait_ms > left_ms:
-        return fates.refuse(Reason.OVERLOAD, wait_ms - left_ms)
+        return completion.refuse(Reason.OVERLOAD, wait_ms - left_ms)
     if request.kind is Kind.BEGIN:
         most = state.limits.connections - state.limits.slots - 1
         if len(state.transactions) >= max(1, most):
-            return fates.refuse(Reason.CONNECTION_LIMIT, 0)
+            return completion.refuse(Reason.CONNECTION_LIMIT, 0)
     return None
 
 
--- a/topazring/core/dispatch.py
+++ b/topazring/core/dispatch.py
@@ -2,9 +2,9 @@
 
 from topazring.core import admission
 from topazring.core import arrival
-from topazring.core import fates
+from topazring.core import completion
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.core import requests
 from topazring.core import routing
 from topazring.core import state as states
@@ -46,7 +46,7 @@
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
             state.urgent.remove(key)
-            return fates.lose_transaction_of(state, work)
+            return completion.lose_transaction_of(state, work)
         upstream = transaction.upstream
         term = transaction.term
     if not upstream or free.get(upstream, 0) <= 0:
@@ -70,7 +70,7 @@
         work = state.work[key]
         reason = arrival.too_late(state, now_ms, work.request)
         if reason is not None:
-            outs += fates.give_up(state, work, reason, 0)
+            outs += completion.give_up(state, work, reason, 0)
             continue
         term = state.view.term
         outs.append(_send(state, now_ms, work, primary, term, free))
@@ -145,7 +145,7 @@
     if primary and idle and free[primary] > 0:
         term = state.view.term
         return [_send(state, now_ms, work, primary, term, free)]
-    return fates.enqueue(state, now_ms, work)
+    return completion.enqueue(state, now_ms, work)
 
 
 def _send(
@@ -174,7 +174,7 @@
         Kind.SETTLE if work.settling else work.request.kind,
         work.request,
         work.at_replica,
-        route.place if route else places.ORIGIN,
+        route.place if route else log_positions.ORIGIN,
         route.wait_ms if route else 0,
         # A read that a replica leaves unanswered still has time elsewhere.
         max(1, left_ms // 2) if route else left_ms,
--- a/topazring/core/expiry.py
+++ b/topazring/core/expiry.py
@@ -1,6 +1,6 @@
 """End what is past its time or can be served only elsewhere."""
 
-from topazring.core import fates
+from topazring.core import completion
 from topazring.core import messages
 from topazring.core import outcomes
 from topazring.core import state as states
@@ -36,10 +36,12 @@
     outs: Out = []
     for work in list(state.work.values()):
         waits = work.phase is states.Phase.QUEUED
-        queue = fates.queue_for(state, work.request, work.primary_only)
+        queue = completion.queue_for(state, work.request, work.primary_only)
         urgent = work.request.key in state.urgent
         if waits and (urgent or queue is state.primary_queue):
-            outs += fates.give_up(state, work, Reason.NO_PRIMARY, CUT_OFF_MS)
+            outs += completion.give_up(
+                state, work, Reason.NO_PRIMARY, CUT_OFF_MS
+            )
     return outs
 
 
@@ -67,7 +69,7 @@
     for work in list(state.work.values()):
         if work.phase is not states.Phase.QUEUED:
             work.maybe_ran = True
-        outs += fates.give_up(state, work, Reason.DRAINING, 0)
+        outs += completion.give_up(state, work, Reason.DRAINING, 0)
     for key in list(state.transactions):
         outs += withdraw(state, now_ms, messages.Withdraw(key))
     return outs
@@ -76,10 +78,10 @@
 def _expire_work(state: states.OwnerState, work: states.Work) -> Out:
     if work.phase is states.Phase.CONFIRMING:
         work.maybe_ran = True
-        return fates.give_up(state, work, Reason.NOT_CONFIRMED, 0)
+        return completion.give_up(state, work, Reason.NOT_CONFIRMED, 0)
     if work.phase is states.Phase.RUNNING:
         work.maybe_ran = True
-        outs = fates.give_up(state, work, Reason.UPSTREAM_TIMEOUT, 0)
+        outs = completion.give_up(state, work, Reason.UPSTREAM_TIMEOUT, 0)
         key = work.request.transaction
         if state.transactions.pop(key, None) is not None:
             outs.append(messages.CloseTransaction(key))
@@ -87,7 +89,9 @@
     reason = work.last_reason
     if work.attempt == 0 and state.view.primary:
         reason = Reason.DEADLINE
-    return fates.give_up(state, work, reason, fates.LEAST_RETRY_AFTER_MS)
+    return completion.give_up(
+        state, work, reason, completion.LEAST_RETRY_AFTER_MS
+    )
 
 
 def withdraw(
--- a/topazring/core/heard.py
+++ b/topazring/core/heard.py
@@ -1,7 +1,7 @@
 """Take in what upstreams, peers and the platform say of a group."""
 
+from topazring.core import completion
 from topazring.core import expiry
-from topazring.core import fates
 from topazring.core import messages
 from topazring.core import outcomes
 from topazring.core import results
@@ -57,7 +57,7 @@
         work = state.work.get(waiter.key)
         if work is not None:
             reason = outcomes.Reason.REPLACED
-            outs += fates.reopen(state, now_ms, work, reason)
+            outs += completion.reopen(state, now_ms, work, reason)
     for key, transaction in list(state.transactions.items()):
         if transaction.term < state.view.term and not transaction.busy:
             outs += expiry.withdraw(state, now_ms, messages.Withdraw(key))
--- a/topazring/core/places.py
+++ b/topazring/core/log_positions.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
-__all__ = ['ORIGIN', 'Place', 'Sample', 'majority_of']
+__all__ = ['ORIGIN', 'LogPosition', 'Sample', 'majority_of']
 
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
-class Place:
+class LogPosition:
     """Locate an entry by the term that wrote it, then by its position.
 
     The term comes first: the tail of a replaced primary can be longer than
@@ -24,7 +24,7 @@
         return f'{self.log_term}.{self.position}'
 
 
-ORIGIN = Place(0, 0)
+ORIGIN = LogPosition(0, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     """
 
     sent_ms: int
-    place: Place
+    place: LogPosition
 
 
 def majority_of(count: int) -> int:
--- a/topazring/core/messages.py
+++ b/topazring/core/messages.py
@@ -3,8 +3,8 @@
 import dataclasses
 import typing
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 
 __all__ = [
@@ -47,7 +47,7 @@
     upstream: str
     accepted_term: int
     leads: bool
-    place: places.Place
+    place: log_positions.LogPosition
     # How long ago this replica last heard from its primary; 0 on a primary.
     primary_silent_ms: int = 0
 
@@ -74,7 +74,7 @@
     """Report an execution with the place the upstream had after it."""
 
     rows: list[list[typing.Any]]
-    place: places.Place
+    place: log_positions.LogPosition
     accepted_term: int
     repeated: bool = False
     cancelled: bool = False
@@ -220,7 +220,7 @@
     request: requests.Request
     at_replica: bool = False
     # A replica runs the read once it has reached this place.
-    wait_place: places.Place = places.ORIGIN
+    wait_place: log_positions.LogPosition = log_positions.ORIGIN
     wait_ms: int = 0
     timeout_ms: int = 0
 
@@ -244,7 +244,7 @@
     upstream: str
     round_id: int
     term: int
-    place: places.Place
+    place: log_positions.LogPosition
     wait_ms: int
 
 
--- a/topazring/core/outcomes.py
+++ b/topazring/core/outcomes.py
@@ -4,13 +4,13 @@
 import enum
 import typing
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = [
     'Done',
     'NotRun',
     'Outcome',
-    'REJECTING',
+    'REJECTION_REASONS',
     'Reason',
     'Rejected',
     'Unknown',
@@ -60,7 +60,7 @@
 
 
 # The reasons that reject the input itself.
-REJECTING = frozenset(
+REJECTION_REASONS = frozenset(
     {
         Reason.BAD_FRAME,
         Reason.BAD_REQUEST_ID,
@@ -82,7 +82,7 @@
     """Report that the request ran and a majority holds what it saw."""
 
     rows: list[list[typing.Any]]
-    place: places.Place
+    place: log_positions.LogPosition
     served_by: str = ''
     repeated: bool = False
     # What the upstream signed its answer with, where it signs.
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -8,8 +8,8 @@
 from topazring.core import failover
 from topazring.core import groups
 from topazring.core import heard
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.core import results
 from topazring.core import rounds
 from topazring.core import state as states
@@ -109,5 +109,5 @@
         if now_ms - state.asked_ms.get(name, -10_000) < period_ms:
             continue
         state.asked_ms[name] = now_ms
-        outs.append(messages.AskStatus(name, 0, 0, places.ORIGIN, 0))
+        outs.append(messages.AskStatus(name, 0, 0, log_positions.ORIGIN, 0))
     return outs
--- a/topazring/core/promotion.py
+++ b/topazring/core/promotion.py
@@ -12,8 +12,8 @@
 import dataclasses
 import enum
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 
 __all__ = [
     'Attempt',
@@ -85,7 +85,7 @@
 
 
 def _choose(attempt: Attempt, now_ms: int) -> list[messages.Lead]:
-    needed = places.majority_of(len(attempt.upstreams))
+    needed = log_positions.majority_of(len(attempt.upstreams))
     preferred = {
         name: status
         for name, status in attempt.fenced.items()
--- a/topazring/core/requests.py
+++ b/topazring/core/requests.py
@@ -4,7 +4,7 @@
 import enum
 import typing
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Kind', 'Profile', 'Request', 'Statement', 'WRITES']
 
@@ -62,7 +62,7 @@
     deadline_ms: int
     statements: tuple[Statement, ...] = ()
     request_id: str = ''
-    token_place: places.Place = places.ORIGIN
+    token_place: log_positions.LogPosition = log_positions.ORIGIN
     transaction: int = 0
     # An earlier copy under the same id may have run.
     repeat: bool = False
--- a/topazring/core/results.py
+++ b/topazring/core/results.py
@@ -1,9 +1,9 @@
 """Take in what upstreams did with requests."""
 
-from topazring.core import fates
+from topazring.core import completion
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 from topazring.core import retries
 from topazring.core import rounds
@@ -77,18 +77,18 @@
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
             # It was withdrawn or timed out while this statement ran.
-            return fates.lose_transaction_of(state, work)
+            return completion.lose_transaction_of(state, work)
         transaction.busy = False
-        done = outcomes.Done(result.rows, places.ORIGIN, work.upstream)
-        return fates.finish(state, work, done)
-    if kind in fates.IN_TRANSACTION:
+        done = outcomes.Done(result.rows, log_positions.ORIGIN, work.upstream)
+        return completion.finish(state, work, done)
+    if kind in completion.IN_TRANSACTION:
         state.transactions.pop(work.request.transaction, None)
     if kind is Kind.ROLLBACK:
-        done = outcomes.Done([], places.ORIGIN, work.upstream)
-        return fates.finish(state, work, done)
+        done = outcomes.Done([], log_positions.ORIGIN, work.upstream)
+        return completion.finish(state, work, done)
     work.result = result
     if work.term != state.view.term:
-        return fates.reopen(state, now_ms, work, Reason.REPLACED)
+        return completion.reopen(state, now_ms, work, Reason.REPLACED)
     work.phase = states.Phase.CONFIRMING
     rounds.add_waiter(
         state.round_state, work.request.key, result.place, work.sent_ms
@@ -105,10 +105,12 @@
     valid = routing.valid_at_replica(state.view, result)
     if not valid:
         work.primary_only = True
-        return fates.requeue(state, now_ms, work, Reason.NOT_CONFIRMED, False)
+        return completion.requeue(
+            state, now_ms, work, Reason.NOT_CONFIRMED, False
+        )
     state.counters['replica_reads'] += 1
     done = outcomes.Done(result.rows, result.place, work.upstream)
-    return fates.finish(state, work, done)
+    return completion.finish(state, work, done)
 
 
 def _began(state: states.OwnerState, work: states.Work) -> Out:
@@ -119,8 +121,8 @@
         work.arrived_ms + request.profile.transaction_deadline_ms,
         request.organisation,
     )
-    done = outcomes.Done([], places.ORIGIN, work.upstream)
-    return fates.finish(state, work, done)
+    done = outcomes.Done([], log_positions.ORIGIN, work.upstream)
+    return completion.finish(state, work, done)
 
 
 def _refused(
@@ -131,21 +133,21 @@
 ) -> Out:
     reason = result.reason
     if reason is Reason.REQUEST_ID_TOO_OLD:
-        return fates.finish(
+        return completion.finish(
             state, work, outcomes.Rejected(reason, work.request.request_id)
         )
     if reason is Reason.REPLICA_BEHIND:
         work.primary_only = True
-        return fates.requeue(state, now_ms, work, reason, False)
+        return completion.requeue(state, now_ms, work, reason, False)
     if reason in (Reason.SLOTS_BUSY, Reason.CONNECTION_LIMIT):
         state.busy_until_ms[work.upstream] = now_ms + BUSY_PAUSE_MS
-        return fates.requeue(state, now_ms, work, reason, False)
-    if work.request.kind in fates.IN_TRANSACTION and not work.settling:
+        return completion.requeue(state, now_ms, work, reason, False)
+    if work.request.kind in completion.IN_TRANSACTION and not work.settling:
         return _lose_transaction(state, work, reason)
     if reason is Reason.CONFLICT:
-        return fates.finish(state, work, fates.refuse(reason, 0))
+        return completion.finish(state, work, completion.refuse(reason, 0))
     state.busy_until_ms[work.upstream] = now_ms + REPLACED_PAUSE_MS
-    return fates.requeue(state, now_ms, work, reason, False)
+    return completion.requeue(state, now_ms, work, reason, False)
 
 
 def _lose_transaction(
@@ -158,9 +160,9 @@
         reason = Reason.TRANSACTION_LOST
     outs: Out = [messages.CloseTransaction(key)]
     if work.request.kind is Kind.ROLLBACK:
-        done = outcomes.Done([], places.ORIGIN, work.upstream)
-        return outs + fates.finish(state, work, done)
-    return outs + fates.finish(state, work, fates.refuse(reason, 0))
+        done = outcomes.Done([], log_positions.ORIGIN, work.upstream)
+        return outs + completion.finish(state, work, done)
+    return outs + completion.finish(state, work, completion.refuse(reason, 0))
 
 
 def _sql_failed(
@@ -169,7 +171,7 @@
     transaction = state.transactions.get(work.request.transaction)
     if transaction is not None:
         transaction.busy = False
-    return fates.finish(
+    return completion.finish(
         state, work, outcomes.Rejected(Reason.BAD_STATEMENT, result.detail)
     )
 
@@ -191,13 +193,13 @@
         # No upstream was given work, so no budget is spent; the pause keeps
         # a dead primary from being dialled in a tight loop.
         state.busy_until_ms[work.upstream] = now_ms + UNREACHED_PAUSE_MS
-        return fates.requeue(state, now_ms, work, result.reason, False)
+        return completion.requeue(state, now_ms, work, result.reason, False)
     if kind in requests.WRITES:
-        return fates.reopen(state, now_ms, work, result.reason)
+        return completion.reopen(state, now_ms, work, result.reason)
     if kind is Kind.READ:
         work.maybe_ran = True
         work.primary_only = False
-    return fates.requeue(state, now_ms, work, result.reason, True)
+    return completion.requeue(state, now_ms, work, result.reason, True)
 
 
 def confirmed(
@@ -206,17 +208,19 @@
     """Answer a request whose place a majority holds."""
     if waiter.needs_place:
         state.view.committed = max(state.view.committed, waiter.place)
-    sample = places.Sample(waiter.sent_ms, waiter.place)
+    sample = log_positions.Sample(waiter.sent_ms, waiter.place)
     views.add_sample(state.view, sample)
     work = state.work.get(waiter.key)
     if work is None or work.result is None:
         return []
     result = work.result
     if result.cancelled:
-        return fates.finish(state, work, fates.refuse(Reason.CANCELLED, 0))
+        return completion.finish(
+            state, work, completion.refuse(Reason.CANCELLED, 0)
+        )
     if work.request.kind is Kind.READ:
         state.counters['primary_reads'] += 1
-    return fates.finish(
+    return completion.finish(
         state,
         work,
         outcomes.Done(
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -10,8 +10,8 @@
 
 import dataclasses
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 
 __all__ = [
     'Rounds',
@@ -41,7 +41,7 @@
     """
 
     key: int
-    place: places.Place
+    place: log_positions.LogPosition
     sent_ms: int
     first_round: int
     needs_place: bool = True
@@ -62,7 +62,7 @@
 def add_waiter(
     rounds: Rounds,
     key: int,
-    place: places.Place,
+    place: log_positions.LogPosition,
     sent_ms: int,
     needs_place: bool = True,
 ) -> None:
@@ -103,7 +103,7 @@
         if not waiting:
             continue
         needed = [w.place for w in waiting if w.needs_place]
-        place = max(needed, default=places.ORIGIN)
+        place = max(needed, default=log_positions.ORIGIN)
         rounds.asked.setdefault(name, {})[round_id] = now_ms
         asks.append(
             messages.AskStatus(name, round_id, rounds.term, place, ASK_WAIT_MS)
@@ -157,6 +157,6 @@
 
 
 def _holds(
-    rounds: Rounds, status: messages.Status, place: places.Place
+    rounds: Rounds, status: messages.Status, place: log_positions.LogPosition
 ) -> bool:
     return status.place.log_term == rounds.term and status.place >= place
--- a/topazring/core/routing.py
+++ b/topazring/core/routing.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.core import requests
 from topazring.core import view as views
 
@@ -18,13 +18,13 @@
     """Name a replica, the place it has to reach, and the wait allowed."""
 
     upstream: str
-    place: places.Place
+    place: log_positions.LogPosition
     wait_ms: int
 
 
 def required_place(
     view: views.GroupView, now_ms: int, request: requests.Request
-) -> places.Place | None:
+) -> log_positions.LogPosition | None:
     """Return the place a replica has to reach for this read, if any will do.
 
     The token's place gives read-your-writes and keeps the session from
@@ -96,7 +96,7 @@
     view: views.GroupView,
     now_ms: int,
     seen: views.UpstreamView,
-    place: places.Place,
+    place: log_positions.LogPosition,
 ) -> float:
     """Predict when the replica reaches `place` from its usual lag."""
     for sample in view.samples:
--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import state as states
@@ -74,7 +74,7 @@
     list_read_ms: int | None = None
     chosen: str = ''
     # What the chosen one had received when it was chosen.
-    chosen_place: places.Place = places.ORIGIN
+    chosen_place: log_positions.LogPosition = log_positions.ORIGIN
     ordered_ms: int = 0
     # Who was to follow is listed no more, or began again as another.
     successor_gone: bool = False
@@ -149,7 +149,9 @@
     return reported_ms is not None and now_ms - reported_ms <= FRESH_MS
 
 
-def paused_at(attempt: Attempt, now_ms: int, name: str) -> places.Place | None:
+def paused_at(
+    attempt: Attempt, now_ms: int, name: str
+) -> log_positions.LogPosition | None:
     """Return where the log of a member ends that is paused, None if unknown.
 
     The heir goes on receiving, and a look pauses nobody.
@@ -217,7 +219,9 @@
         lost = ''
     held = {name: attempt.reports[name].received for name in answered}
     if attempt.demoting_since_ms is not None:
-        enough = held.get(attempt.heir, places.ORIGIN) >= max(held.values())
+        enough = held.get(attempt.heir, log_positions.ORIGIN) >= max(
+            held.values()
+        )
         return attempt.heir if enough else ''
     if attempt.heir:
         place = held[attempt.heir]
@@ -225,7 +229,7 @@
         complete = _is_complete(state, now_ms, attempt, place)
         return attempt.heir if enough and complete else ''
     others = {name: held[name] for name in answered if name != lost}
-    highest = max(others.values(), default=places.ORIGIN)
+    highest = max(others.values(), default=log_positions.ORIGIN)
     complete = _is_complete(state, now_ms, attempt, highest)
     enough = complete and highest >= _floor(state, attempt)
     if not others or not enough or _may_hold_alone(state, attempt, highest):
@@ -235,7 +239,9 @@
     return min(staying or able, key=lambda name: (name == attempt.old, name))
 
 
-def _may_lead_next(state: states.GroupState, place: places.Place) -> bool:
+def _may_lead_next(
+    state: states.GroupState, place: log_positions.LogPosition
+) -> bool:
     """Say whether a log holds what a leaving primary is known to have.
 
     What the paused ones hold is not enough before they have followed it.
@@ -250,7 +256,7 @@
     state: states.GroupState,
     now_ms: int,
     attempt: Attempt,
-    place: places.Place,
+    place: log_positions.LogPosition,
 ) -> bool:
     """Say whether no departed upstream can have confirmed more than that.
 
@@ -268,7 +274,9 @@
 
 
 def _may_hold_alone(
-    state: states.GroupState, attempt: Attempt, highest: places.Place
+    state: states.GroupState,
+    attempt: Attempt,
+    highest: log_positions.LogPosition,
 ) -> bool:
     """Say whether a demoted primary may hold alone what it began with.
 
@@ -285,7 +293,9 @@
     return highest.log_term < report.term
 
 
-def _floor(state: states.GroupState, attempt: Attempt) -> places.Place:
+def _floor(
+    state: states.GroupState, attempt: Attempt
+) -> log_positions.LogPosition:
     """Return the place that whoever is promoted has to hold."""
     floor = state.acknowledged
     old = state.upstreams.get(attempt.old)
--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -27,7 +27,7 @@
 learns of that.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import proofs
@@ -279,7 +279,7 @@
 
 
 def note_place(
-    upstream: states.Upstream, sent_ms: int, place: places.Place
+    upstream: states.Upstream, sent_ms: int, place: log_positions.LogPosition
 ) -> None:
     """Take in what a member has applied, asked at a time.
 
--- a/topazring/core/synchronous/departures.py
+++ b/topazring/core/synchronous/departures.py
@@ -13,7 +13,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Departure', 'Departures']
 
@@ -39,7 +39,7 @@
     # not come back.
     left: bool = False
     # None until it is known.
-    bound: places.Place | None = None
+    bound: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -56,7 +56,7 @@
         now_ms: int,
         name: str,
         left: bool = False,
-        paused_at: places.Place | None = None,
+        paused_at: log_positions.LogPosition | None = None,
         born_ms: int = 0,
     ) -> None:
         """Take in that an upstream is listed no more.
@@ -66,7 +66,7 @@
         departure = Departure(name, now_ms, left, paused_at)
         self.known[(name, born_ms)] = departure
 
-    def begin(self, now_ms: int, place: places.Place) -> None:
+    def begin(self, now_ms: int, place: log_positions.LogPosition) -> None:
         """Take in the first place that a primary reports to this process.
 
         Whoever departed before it began may have confirmed all up to there.
@@ -91,14 +91,19 @@
         """Say whether one of that name was listed before."""
         return any(departure.name == name for departure in self.known.values())
 
-    def note_primary(self, sent_ms: int, place: places.Place) -> None:
+    def note_primary(
+        self, sent_ms: int, place: log_positions.LogPosition
+    ) -> None:
         """Take in where the primary's log stood after a time of sending."""
         for departure in self.known.values():
             if departure.bound is None and departure.seen_ms <= sent_ms:
                 departure.bound = place
 
     def may_exceed(
-        self, now_ms: int, place: places.Place, primaries: frozenset[str]
+        self,
+        now_ms: int,
+        place: log_positions.LogPosition,
+        primaries: frozenset[str],
     ) -> list[str]:
         """Return whom to wait for: their logs may go beyond a place.
 
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -1,7 +1,7 @@
 """Give waiting requests an upstream and a connection."""
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import retries
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
@@ -143,7 +143,7 @@
     now_ms: int,
     work: states.Work,
     connection: states.Connection,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> list:
     request = work.request
     if work.queued:
@@ -170,7 +170,7 @@
     now_ms: int,
     work: states.Work,
     connection: states.Connection,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> list:
     """Tell where a request goes, if anything about it was told before.
 
@@ -207,7 +207,7 @@
 ) -> None:
     # A transaction goes on at an upstream that is listed no more.
     upstream = state.upstreams.get(connection.upstream)
-    connection.place_before = places.ORIGIN
+    connection.place_before = log_positions.ORIGIN
     if upstream is not None:
         connection.place_before = upstream.place
     work.running.add(connection.number)
--- a/topazring/core/synchronous/exchanges.py
+++ b/topazring/core/synchronous/exchanges.py
@@ -5,7 +5,7 @@
 a refused BEGIN would run outside the caller's transaction.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -74,7 +74,7 @@
 
 
 def statement_command(
-    request: messages.Request, after: places.Place | None = None
+    request: messages.Request, after: log_positions.LogPosition | None = None
 ) -> statements.Command:
     """Return the request's own statement."""
     statement = request.statement
@@ -93,7 +93,7 @@
 def single(
     connection: states.Connection,
     request: messages.Request,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> tuple[statements.Command, ...]:
     """Return all that goes out for a statement outside a transaction.
 
@@ -109,7 +109,7 @@
 def begin(
     connection: states.Connection,
     request: messages.Request,
-    after: places.Place | None,
+    after: log_positions.LogPosition | None,
 ) -> tuple[statements.Command, ...]:
     """Return what begins a transaction, without its first statement."""
     commands = adapt(connection, request)
--- a/topazring/core/synchronous/fates.py
+++ b/topazring/core/synchronous/fates.py
@@ -6,8 +6,8 @@
 and not answered may have taken effect; it is never sent again.
 """
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import known_places
@@ -116,7 +116,7 @@
 def _success(
     connection: states.Connection,
     reply: statements.Reply,
-    place: places.Place | None,
+    place: log_positions.LogPosition | None,
 ) -> outcomes.Done:
     return outcomes.Done(
         list(reply.rows),
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -11,7 +11,7 @@
 import bisect
 import operator
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
@@ -32,7 +32,7 @@
 _sent_ms = operator.attrgetter('sent_ms')
 
 
-def add_sample(state: states.GroupState, sample: places.Sample) -> None:
+def add_sample(state: states.GroupState, sample: log_positions.Sample) -> None:
     """Take in a sample; one with a place behind a known one is dropped.
 
     Answers come on several connections and can overtake each other.
@@ -53,7 +53,9 @@
     return state.samples[-1].sent_ms if state.samples else None
 
 
-def place_at(state: states.GroupState, at_ms: int) -> places.Place | None:
+def place_at(
+    state: states.GroupState, at_ms: int
+) -> log_positions.LogPosition | None:
     """Return where the present primary's log stood at a time.
 
     An earlier primary's log may have had a tail that was cut back.
@@ -74,7 +76,7 @@
 
 def required_place(
     state: states.GroupState, request: messages.Request
-) -> places.Place | None:
+) -> log_positions.LogPosition | None:
     """Return the place that a replica has to hold, None if none will do.
 
     The oldest sample that is young enough asks least of the replica.
--- a/topazring/core/synchronous/known_places.py
+++ b/topazring/core/synchronous/known_places.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Confirmation', 'Start']
 
@@ -12,7 +12,7 @@
     """Bind a primary to a place: all that it began with is at or before it."""
 
     upstream: str = ''
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,6 +25,6 @@
     # When its answer came.
     confirmed_ms: int
     # Where its log was known to stand then.
-    place_before: places.Place
+    place_before: log_positions.LogPosition
     # Where it stood with the write; None if that was not told.
-    place: places.Place | None
+    place: log_positions.LogPosition | None
--- a/topazring/core/synchronous/messages.py
+++ b/topazring/core/synchronous/messages.py
@@ -4,8 +4,8 @@
 import dataclasses
 import enum
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import statements
 
 __all__ = [
@@ -82,7 +82,7 @@
     begins: bool = False
     read_only: bool = False
     # The session's own last commit.
-    session_place: places.Place = places.ORIGIN
+    session_place: log_positions.LogPosition = log_positions.ORIGIN
     values: collections.abc.Mapping[str, str] = dataclasses.field(
         default_factory=dict
     )
@@ -144,7 +144,7 @@
     """Report a connection that is ready for its first command."""
 
     connection: int
-    place: places.Place | None
+    place: log_positions.LogPosition | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -8,7 +8,7 @@
 was replaced and has not learned of it, and is told by whoever reaches it.
 """
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import evidence
@@ -38,7 +38,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    place: places.Place | None,
+    place: log_positions.LogPosition | None,
 ) -> None:
     """Take in where an upstream's log stands."""
     upstream.heard_ms = now_ms
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -2,8 +2,8 @@
 
 import collections.abc
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import retries
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
@@ -96,7 +96,7 @@
                 state, now_ms, upstream, connection.sent_ms
             )
             if reply.place is not None and upstream.name == state.primary:
-                sample = places.Sample(connection.sent_ms, reply.place)
+                sample = log_positions.Sample(connection.sent_ms, reply.place)
                 state.pending.append(sample)
     proofs.settle(state)
     return outs
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
@@ -50,7 +50,7 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    place: places.Place,
+    place: log_positions.LogPosition,
 ) -> list[states.Upstream]:
     """Return the upstreams that may serve a read that has to see a place."""
     readable = _readable(state, now_ms)
@@ -61,7 +61,7 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    place: places.Place,
+    place: log_positions.LogPosition,
     readable: list[states.Upstream],
 ) -> list[states.Upstream]:
     """Return those of the readable upstreams that are fresh enough."""
@@ -77,7 +77,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    place: places.Place,
+    place: log_positions.LogPosition,
 ) -> bool:
     """Say whether an upstream holds a place, as far as is known."""
     if upstream.name == state.primary or upstream.place >= place:
--- a/topazring/core/synchronous/sessions.py
+++ b/topazring/core/synchronous/sessions.py
@@ -7,8 +7,8 @@
 
 import dataclasses
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 
@@ -25,7 +25,7 @@
 SessionState = statements.SessionState
 Verb = statements.Verb
 
-_DONE = outcomes.Done([], places.ORIGIN)
+_DONE = outcomes.Done([], log_positions.ORIGIN)
 
 
 @dataclasses.dataclass(slots=True)
@@ -52,7 +52,7 @@
     )
     transaction: Transacting | None = None
     # Its own last commit.
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/topazring/core/synchronous/settling.py
+++ b/topazring/core/synchronous/settling.py
@@ -1,6 +1,6 @@
 """Settle a connection, and what is known, after an answer."""
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import known_places
@@ -49,5 +49,5 @@
         return
     state.acknowledged = max(state.acknowledged, confirmation.place_before)
     if confirmation.place is not None:
-        sample = places.Sample(confirmation.sent_ms, confirmation.place)
+        sample = log_positions.Sample(confirmation.sent_ms, confirmation.place)
         freshness.add_sample(state, sample)
--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -5,8 +5,8 @@
 import enum
 
 from topazring.core import admission
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import retries
 from topazring.core.synchronous import departures as departing
 from topazring.core.synchronous import known_places
@@ -96,7 +96,7 @@
     # The statement under way writes.
     writing: bool = False
     # Where the upstream's log was known to stand when they went out.
-    place_before: places.Place = places.ORIGIN
+    place_before: log_positions.LogPosition = log_positions.ORIGIN
     transaction: int = 0
     values: dict[str, str] = dataclasses.field(default_factory=dict)
     prepared: set[str] = dataclasses.field(default_factory=set)
@@ -117,10 +117,10 @@
     closed_to_work_ms: int | None = None
     leaving: bool = False
     # Where its log stood when it last said so.
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
     place_ms: int = 0
     # It said that it lacked this place, then.
-    lacked: places.Place = places.ORIGIN
+    lacked: log_positions.LogPosition = log_positions.ORIGIN
     lacked_ms: int = NEVER_MS
     # How long it is left alone then.
     lacked_pause_ms: int = 0
@@ -159,7 +159,7 @@
     # When it last had a write confirmed by a replica.
     confirmed_ms: int = 0
     # Where its log ends at least, by the newest question that it answered.
-    log_end: places.Place = places.ORIGIN
+    log_end: log_positions.LogPosition = log_positions.ORIGIN
     log_end_sent_ms: int = NEVER_MS
     # Its last own word: for which term is it paused, 0 if it is not, and when
     # was it asked?
@@ -294,7 +294,7 @@
     gap_ms: float = 1000.0
     # Acknowledged writes are known to reach this place at least; nobody
     # whose log ends before it may be promoted.
-    acknowledged: places.Place = places.ORIGIN
+    acknowledged: log_positions.LogPosition = log_positions.ORIGIN
     # Upstreams that may hold what nobody else holds.
     departures: departing.Departures = dataclasses.field(
         default_factory=departing.Departures
@@ -305,7 +305,7 @@
     # What the last primary of which that is known began with.
     start: known_places.Start = known_places.Start()
     # Oldest first.
-    samples: collections.deque[places.Sample] = dataclasses.field(
+    samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=collections.deque
     )
     # Keys of the requests whose answers wait for a proof.
@@ -314,7 +314,7 @@
     unsure_ms: int = NEVER_MS
     # Places that the primary reported and that are samples once its lead is
     # proved for their time; oldest first.
-    pending: collections.deque[places.Sample] = dataclasses.field(
+    pending: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=PENDING)
     )
     # The newest moment for which the lead is to be proved, and the oldest
--- a/topazring/core/synchronous/statements.py
+++ b/topazring/core/synchronous/statements.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = [
     'Access',
@@ -120,7 +120,7 @@
     """Begin a transaction; one that only reads may name a place."""
 
     read_only: bool = False
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
 
     request_id: str
     text: str
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -151,7 +151,7 @@
     request_id: str
     name: str
     arguments: str
-    after: places.Place | None = None
+    after: log_positions.LogPosition | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -230,7 +230,7 @@
     detail: str = ''
     state: SessionState = SessionState.IDLE
     # Where the upstream's log stood, if it said so.
-    place: places.Place | None = None
+    place: log_positions.LogPosition | None = None
     report: 'StatusReport | None' = None
 
 
@@ -240,7 +240,7 @@
 
     role: Role
     term: int
-    received: places.Place
+    received: log_positions.LogPosition
     held_term: int
     lag_ms: int
     busy: int
--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -5,7 +5,7 @@
 import dataclasses
 from unittest import mock
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import departures
@@ -126,7 +126,9 @@
 def _newest_sample_ignored():
     """Let any replica serve, whatever it holds."""
     return mock.patch.object(
-        freshness, 'required_place', lambda state, request: places.ORIGIN
+        freshness,
+        'required_place',
+        lambda state, request: log_positions.ORIGIN,
     )
 
 
@@ -138,7 +140,7 @@
 
     def forgetful(session, request, outcome):
         finish(session, request, outcome)
-        session.place = places.ORIGIN
+        session.place = log_positions.ORIGIN
 
     return mock.patch.object(sessions, 'finish', forgetful)
 
--- a/topazring/core/synchronous/tests/crowd_upstreams.py
+++ b/topazring/core/synchronous/tests/crowd_upstreams.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
@@ -42,9 +42,9 @@
         default_factory=collections.deque
     )
 
-    def place(self) -> places.Place:
+    def place(self) -> log_positions.LogPosition:
         """Return the place of the last applied entry."""
-        return places.Place(1, self.position)
+        return log_positions.LogPosition(1, self.position)
 
 
 class UpstreamSide:
@@ -104,7 +104,7 @@
             case statements.Rollback():
                 fake_group.roll_back(wire)
             case statements.Status() | statements.Demote():
-                received = places.Place(1, upstream.received)
+                received = log_positions.LogPosition(1, upstream.received)
                 report = statements.StatusReport(
                     upstream.role, 1, received, 0, 0, 0, 0
                 )
--- a/topazring/core/synchronous/tests/fake_group.py
+++ b/topazring/core/synchronous/tests/fake_group.py
@@ -3,7 +3,7 @@
 import collections
 import dataclasses
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import statements
 
 Code = statements.Code
@@ -71,17 +71,19 @@
     revision: int = 1
     born_ms: int = 1
 
-    def received(self) -> places.Place:
+    def received(self) -> log_positions.LogPosition:
         """Return the place of the last entry."""
         if not self.log:
-            return places.ORIGIN
-        return places.Place(self.log[-1].term, len(self.log))
+            return log_positions.ORIGIN
+        return log_positions.LogPosition(self.log[-1].term, len(self.log))
 
-    def place(self) -> places.Place:
+    def place(self) -> log_positions.LogPosition:
         """Return the place of the last applied entry."""
         if not self.applied:
-            return places.ORIGIN
-        return places.Place(self.log[self.applied - 1].term, self.applied)
+            return log_positions.ORIGIN
+        return log_positions.LogPosition(
+            self.log[self.applied - 1].term, self.applied
+        )
 
 
 def report(member: Member) -> statements.StatusReport:
@@ -115,7 +117,7 @@
 
 
 def ok(
-    wire: Wire, place: places.Place, signature: str = '-', **more
+    wire: Wire, place: log_positions.LogPosition, signature: str = '-', **more
 ) -> statements.Reply:
     """Return a success."""
     return statements.Reply(
@@ -123,7 +125,9 @@
     )
 
 
-def refuse(wire: Wire, place: places.Place, code: Code) -> statements.Reply:
+def refuse(
+    wire: Wire, place: log_positions.LogPosition, code: Code
+) -> statements.Reply:
     """Return a refusal; a transaction fails by it."""
     if wire.read_only is not None:
         wire.failed = True
--- a/topazring/core/synchronous/tests/invariants.py
+++ b/topazring/core/synchronous/tests/invariants.py
@@ -74,7 +74,7 @@
         key
         for queues in (state.primary_queues, state.any_queues)
         for queue in queues.values()
-        for line in queue.lines.values()
+        for line in queue.heaps.values()
         for _, key in line
     }
     queued = {key for key, work in state.work.items() if work.queued}
--- a/topazring/core/synchronous/tests/support.py
+++ b/topazring/core/synchronous/tests/support.py
@@ -3,15 +3,15 @@
 import dataclasses
 import itertools
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import group
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import invariants
 
-Place = places.Place
+Place = log_positions.LogPosition
 Reply = statements.Reply
 Role = statements.Role
 Verb = statements.Verb
--- a/topazring/core/synchronous/tests/test_sessions.py
+++ b/topazring/core/synchronous/tests/test_sessions.py
@@ -2,8 +2,8 @@
 
 import testtools
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import sessions
@@ -103,10 +103,11 @@
         """Reads of the session see it from then on."""
         session = fresh()
         request = say(session, Verb.WRITE)
-        done = outcomes.Done([], places.Place(2, 7))
+        done = outcomes.Done([], log_positions.LogPosition(2, 7))
         sessions.finish(session, request, done)
         self.assertEqual(
-            places.Place(2, 7), say(session, Verb.READ).session_place
+            log_positions.LogPosition(2, 7),
+            say(session, Verb.READ).session_place,
         )
 
     def test_dropped_database(self):
--- a/topazring/core/synchronous/waiting.py
+++ b/topazring/core/synchronous/waiting.py
@@ -50,7 +50,7 @@
     keys = []
     queues = _queues(state, primary_only)
     for priority in sorted(queues):
-        lines = queues[priority].lines
+        lines = queues[priority].heaps
         order = [sorted(lines[name]) for name in queues[priority].turns]
         depth = max((len(line) for line in order), default=0)
         for turn in range(depth):
@@ -63,7 +63,7 @@
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
     if queue.turns and queue.turns[0] == policy.database:
-        line = queue.lines[policy.database]
+        line = queue.heaps[policy.database]
         if line[0][1] == work.request.key:
             admission.pop(queue, now_ms)
             work.queued = False
@@ -89,5 +89,5 @@
         if priority < policy.priority:
             ahead += admission.size(queue)
         elif priority == policy.priority:
-            ahead += admission.ahead_of(queue, policy.database)
+            ahead += admission.count_ahead(queue, policy.database)
     return ahead
--- a/topazring/core/tests/oracle.py
+++ b/topazring/core/tests/oracle.py
@@ -3,9 +3,9 @@
 import collections
 import dataclasses
 
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 from topazring.standin import log as logs
 
@@ -34,7 +34,7 @@
     """Hold a session's token and what it has seen or done."""
 
     organisation: str
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
     seen: set = dataclasses.field(default_factory=set)
     # The owner and the number of the transaction that is open, if any.
     bound: tuple[str, int] | None = None
--- a/topazring/core/tests/test_forwarding.py
+++ b/topazring/core/tests/test_forwarding.py
@@ -5,15 +5,15 @@
 import testtools
 
 from topazring.core import forwarding
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 
 Kind = requests.Kind
 Reason = outcomes.Reason
 OWNERS = ('a', 'b')
-DONE = outcomes.Done([], places.Place(1, 1))
+DONE = outcomes.Done([], log_positions.LogPosition(1, 1))
 SENT = messages.Lost(Reason.OWNER_LOST, True)
 UNSENT = messages.Lost(Reason.OWNER_LOST, False)
 CANNOT = outcomes.NotRun(Reason.NO_PRIMARY, 100)
--- a/topazring/core/tests/test_limits.py
+++ b/topazring/core/tests/test_limits.py
@@ -3,8 +3,8 @@
 import testtools
 
 from topazring.core import admission
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.core import retries
 from topazring.core import suspicion
 from topazring.core import tokens
@@ -94,7 +94,9 @@
         self.replicas(50)
 
     def see(self, name, leads=False, silent_ms=0, now_ms=1000):
-        status = messages.Status(name, 1, leads, places.Place(1, 1), silent_ms)
+        status = messages.Status(
+            name, 1, leads, log_positions.LogPosition(1, 1), silent_ms
+        )
         views.observe(self.view, now_ms, status)
 
     def replicas(self, silent_ms, now_ms=1000):
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -4,13 +4,13 @@
 
 import testtools
 
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import owner
-from topazring.core import places
 from topazring.core import rounds
 from topazring.core import state as states
 
-Place = places.Place
+Place = log_positions.LogPosition
 
 
 def status(upstream, term, place, leads=False):
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -20,9 +20,9 @@
 import testtools
 
 from topazring.core import failover
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import owner
-from topazring.core import places
 from topazring.core import state as states
 from topazring.core import suspicion
 from topazring.core import view as views
@@ -49,7 +49,7 @@
         self.outs += owner.step(self.state, self.now_ms, message)
 
     def see(self, name, term, leads=False, silent_ms=0):
-        place = places.Place(term, 0)
+        place = log_positions.LogPosition(term, 0)
         status = messages.Status(name, term, leads, place, silent_ms)
         self.step(messages.StatusSeen(status, sent_ms=self.now_ms))
 
@@ -120,7 +120,7 @@
     def see_all(self, term, now_ms, silent_ms):
         for name in UPSTREAMS:
             leads = name == 'u2' and term > 0
-            place = places.Place(term, 0)
+            place = log_positions.LogPosition(term, 0)
             silent = 0 if leads else silent_ms
             status = messages.Status(name, term, leads, place, silent)
             views.observe(self.view, now_ms, status)
--- a/topazring/core/tests/world.py
+++ b/topazring/core/tests/world.py
@@ -8,10 +8,10 @@
 import random
 
 from topazring.core import grants
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import outcomes
 from topazring.core import owner
-from topazring.core import places
 from topazring.core import requests
 from topazring.core import state as states
 from topazring.core.tests import oracle as oracles
@@ -146,7 +146,7 @@
             if term >= self.logs[target].accepted_term:
                 self.heard[target] = self.now
             # From the start each time: what fits already is passed over.
-            logs.extend(self.logs[target], term, places.ORIGIN, entries)
+            logs.extend(self.logs[target], term, log_positions.ORIGIN, entries)
             self._wake_parked()
 
         self.mail.append(Mail(arrive))
@@ -453,7 +453,7 @@
         log = self.logs[out.upstream]
         last = logs.last_place(log)
         return (
-            out.place == places.ORIGIN
+            out.place == log_positions.ORIGIN
             or log.accepted_term > out.term
             or (last.log_term == out.term and last >= out.place)
         )
--- a/topazring/core/tokens.py
+++ b/topazring/core/tokens.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Session', 'TokenError', 'read_token', 'write_token']
 
@@ -22,9 +22,9 @@
     log_term: int
     position: int
 
-    def place(self) -> places.Place:
+    def place(self) -> log_positions.LogPosition:
         """Return the place that the session has seen."""
-        return places.Place(self.log_term, self.position)
+        return log_positions.LogPosition(self.log_term, self.position)
 
 
 class TokenError(ValueError):
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -3,8 +3,8 @@
 import collections
 import dataclasses
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 
 __all__ = [
     'GroupView',
@@ -26,7 +26,7 @@
     name: str
     accepted_term: int = 0
     leads: bool = False
-    place: places.Place = places.ORIGIN
+    place: log_positions.LogPosition = log_positions.ORIGIN
     seen_ms: int | None = None
     primary_silent_ms: int = 0
     # When it went over to its term, if this owner knew it before.
@@ -34,7 +34,7 @@
     # How long this replica takes to reach a place, as a moving average.
     lag_ms: float = 0.0
     # The sample whose arrival at this replica is measured next.
-    awaited: places.Sample | None = None
+    awaited: log_positions.Sample | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -44,8 +44,8 @@
     upstreams: dict[str, UpstreamView]
     term: int = 0
     primary: str = ''
-    committed: places.Place = places.ORIGIN
-    samples: collections.deque[places.Sample] = dataclasses.field(
+    committed: log_positions.LogPosition = log_positions.ORIGIN
+    samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=SAMPLES_KEPT)
     )
     # When the primary was last found or lost.
@@ -59,7 +59,7 @@
 
 def majority(view: GroupView) -> int:
     """Return how many upstreams make a majority of the group."""
-    return places.majority_of(len(view.upstreams))
+    return log_positions.majority_of(len(view.upstreams))
 
 
 def observe(view: GroupView, now_ms: int, status: messages.Status) -> bool:
@@ -112,7 +112,7 @@
     seen.awaited = None
 
 
-def add_sample(view: GroupView, sample: places.Sample) -> None:
+def add_sample(view: GroupView, sample: log_positions.Sample) -> None:
     """Remember a sample whose term a majority confirmed after it was sent.
 
     Samples can be confirmed out of order; an older one adds nothing that a
@@ -128,7 +128,7 @@
 
 def staleness_place(
     view: GroupView, now_ms: int, max_staleness_ms: int
-) -> places.Place | None:
+) -> log_positions.LogPosition | None:
     """Return the place that a read of that age has to reach.
 
     None means that no sample is recent enough: the age of any replica is
--- a/topazring/platform/tests/test_caller.py
+++ b/topazring/platform/tests/test_caller.py
@@ -6,8 +6,8 @@
 import testtools
 from tornado import iostream
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import messages
 from topazring.platform import caller_lines
 from topazring.plumbing import events
@@ -57,7 +57,7 @@
     async def run(self, request):
         self.submitted += 1
         await self.release.wait()
-        return outcomes.Done(['row'], places.ORIGIN, signature='sig')
+        return outcomes.Done(['row'], log_positions.ORIGIN, signature='sig')
 
 
 class LastRequestsTest(testtools.TestCase):
--- a/topazring/platform/tests/test_lines.py
+++ b/topazring/platform/tests/test_lines.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies
 import testtools
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import statements
 from topazring.platform import caller_lines
 from topazring.platform import lines
@@ -126,7 +126,7 @@
         """What may have run is never answered as if nothing were kept."""
         kept_nothing = (b'BUSY', b'ABORTED', b'LAGGING', b'TOOMANY')
         for reason in Reason:
-            if reason in outcomes.REJECTING:
+            if reason in outcomes.REJECTION_REASONS:
                 continue
             refused = self.answer(outcomes.NotRun(reason, 40))
             self.assertIn(refused.split()[1], kept_nothing)
@@ -140,7 +140,7 @@
 
     def test_commands(self):
         """Callers' statements keep their id and text."""
-        place = places.Place(3, 1207)
+        place = log_positions.LogPosition(3, 1207)
         written = upstream_lines.UpstreamCodec().encode(
             (
                 statements.Begin(),
@@ -181,11 +181,13 @@
         for piece in pieces_of(said, cuts):
             replies += reader.feed(piece)
         greeting, row, refusal, status = replies
-        self.assertEqual(places.Place(3, 1207), greeting.place)
+        self.assertEqual(log_positions.LogPosition(3, 1207), greeting.place)
         self.assertEqual((('a b',), '7.1f'), (row.rows, row.signature))
         self.assertEqual(Code.READ_ONLY, refusal.code)
         self.assertEqual(SessionState.FAILED, refusal.state)
-        self.assertEqual(places.Place(3, 1209), status.report.received)
+        self.assertEqual(
+            log_positions.LogPosition(3, 1209), status.report.received
+        )
         self.assertEqual(4, status.report.held_term)
 
     def test_refused_greeting(self):
--- a/topazring/platform/upstream_lines.py
+++ b/topazring/platform/upstream_lines.py
@@ -2,7 +2,7 @@
 
 import collections.abc
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core.synchronous import statements
 from topazring.platform import lines
 
@@ -45,7 +45,7 @@
     return register
 
 
-def _after(place: places.Place | None, text: str) -> str:
+def _after(place: log_positions.LogPosition | None, text: str) -> str:
     if place is None:
         return text
     return f'AFTER {place.log_term}.{place.position} {text}'
@@ -114,12 +114,12 @@
     return _OWN_ID, f'DEMOTE {command.term}'
 
 
-def parse_place(text: str) -> places.Place | None:
+def parse_place(text: str) -> log_positions.LogPosition | None:
     """Return TERM.NUMBER as a place, None for `-`; ValueError otherwise."""
     if text == '-':
         return None
     term, _, number = text.partition('.')
-    return places.Place(int(term), int(number))
+    return log_positions.LogPosition(int(term), int(number))
 
 
 class _Reader:
@@ -199,7 +199,7 @@
     return statements.StatusReport(
         statements.Role(role),
         int(term),
-        parse_place(received) or places.ORIGIN,
+        parse_place(received) or log_positions.ORIGIN,
         int(held),
         int(float(lag)),
         int(busy),
--- a/topazring/pooler/hop_frames.py
+++ b/topazring/pooler/hop_frames.py
@@ -5,8 +5,8 @@
 import msgspec
 from tornado import iostream
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import messages
 from topazring.plumbing import framing
 
@@ -36,7 +36,7 @@
     id: int
     kind: str
     rows: list[typing.Any] = []
-    place: places.Place | None = None
+    place: log_positions.LogPosition | None = None
     signature: str = ''
     served_by: str = ''
     reason: str = ''
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -9,8 +9,8 @@
 import testtools
 
 from topazring.core import groups
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -34,7 +34,7 @@
 
     def start(self, service, upstream, address):
         """Be ready at once."""
-        place = places.Place(1, 5)
+        place = log_positions.LogPosition(1, 5)
         loop = asyncio.get_running_loop()
         loop.call_soon(self.post, messages.Opened(self.number, place))
 
@@ -47,7 +47,9 @@
 
     def reply(self, count):
         """Answer with successes."""
-        reply = statements.Reply(signature='-', place=places.Place(1, 5))
+        reply = statements.Reply(
+            signature='-', place=log_positions.LogPosition(1, 5)
+        )
         replied = messages.Replied(self.number, (reply,) * count)
         asyncio.get_running_loop().call_soon(self.post, replied)
 
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -11,8 +11,8 @@
 from tornado import tcpclient
 
 from topazring.bench import ports
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core.synchronous import forwarding
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
@@ -33,7 +33,7 @@
         POLICY,
         verb is Verb.WRITE,
         clock.suspended_ms(),
-        session_place=places.Place(3, 12),
+        session_place=log_positions.LogPosition(3, 12),
         values={'zone': 'cork'},
         prepared=statements.Prepare('rq', statements.Access.READ, 'q'),
         **more,
@@ -48,7 +48,7 @@
         self.asked: list[messages.Request] = []
         self.withdrawn: list[tuple[str, int]] = []
         self.outcome = outcomes.Done(
-            ['row'], places.Place(3, 13), 'u1', signature='sig'
+            ['row'], log_positions.LogPosition(3, 13), 'u1', signature='sig'
         )
         self.answers = True
         self.pause_s = 0.0
--- a/topazring/proxy/control_link.py
+++ b/topazring/proxy/control_link.py
@@ -6,8 +6,8 @@
 
 from tornado import websocket
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.plumbing import clock
 from topazring.plumbing import sockets
 from topazring import wire
@@ -139,7 +139,7 @@
         self.socket = socket
         self.proven = False
         now_ms = clock.monotonic_ms()
-        probe = messages.AskStatus(self.name, 0, 0, places.ORIGIN, 0)
+        probe = messages.AskStatus(self.name, 0, 0, log_positions.ORIGIN, 0)
         self.send(probe, now_ms)
         self.post(messages.LinkOpened(self.name))
 
--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -5,10 +5,10 @@
 
 from topazring import catalogue
 from topazring.core import forwarding
+from topazring.core import log_positions
 from topazring.core import members as membership
 from topazring.core import messages
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 from topazring.core import windows
 from topazring.plumbing import clock
@@ -44,7 +44,7 @@
     deadline_ms: int
     statements: tuple[requests.Statement, ...] = ()
     request_id: str = ''
-    token_place: places.Place = places.ORIGIN
+    token_place: log_positions.LogPosition = log_positions.ORIGIN
     bound: Bound | None = None
     repeat: bool = False
 
@@ -298,7 +298,7 @@
             clock.monotonic_ms() + frame.left_ms,
             tuple(frame.statements),
             frame.request_id,
-            places.Place(*frame.token),
+            log_positions.LogPosition(*frame.token),
             frame.transaction,
             frame.repeat,
         )
--- a/topazring/proxy/hop.py
+++ b/topazring/proxy/hop.py
@@ -14,9 +14,9 @@
 from tornado import tcpclient
 from tornado import tcpserver
 
+from topazring.core import log_positions
 from topazring.core import messages
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import requests
 from topazring.plumbing import clock
 from topazring.plumbing import framing
@@ -114,7 +114,7 @@
         case 'done':
             return outcomes.Done(
                 answer.rows,
-                places.Place(*answer.place),
+                log_positions.LogPosition(*answer.place),
                 answer.served_by,
                 answer.repeated,
             )
--- a/topazring/proxy/metrics.py
+++ b/topazring/proxy/metrics.py
@@ -73,7 +73,11 @@
         """Return every label, so that a reason shows before it happens."""
         found = dict.fromkeys(self.answers)
         for reason in outcomes.Reason:
-            name = 'rejected' if reason in outcomes.REJECTING else 'notrun'
+            name = (
+                'rejected'
+                if reason in outcomes.REJECTION_REASONS
+                else 'notrun'
+            )
             found.setdefault((name, str(reason)))
         return list(found)
 
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -7,8 +7,8 @@
 from tornado import websocket
 
 from topazring import catalogue
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import request_ids
 from topazring.core import requests
 from topazring.core import tokens
@@ -46,7 +46,7 @@
     organisation: str
     database: str
     profile: str
-    place: places.Place
+    place: log_positions.LogPosition
     bound: entries.Bound | None = None
     in_flight: int = 0
 
@@ -205,7 +205,7 @@
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, frame.database)
         if frame.profile not in known.profiles:
             return outcomes.Rejected(Reason.UNKNOWN_PROFILE, frame.profile)
-        place = places.ORIGIN
+        place = log_positions.ORIGIN
         session = Session(
             frame.organisation, frame.database, frame.profile, place
         )
--- a/topazring/proxy/tests/test_control_link.py
+++ b/topazring/proxy/tests/test_control_link.py
@@ -6,8 +6,8 @@
 import testtools
 from tornado import websocket
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 from topazring.proxy import control_link
 
 
@@ -23,7 +23,7 @@
             link = control_link.ControlLink(
                 'u2', 'ws://u2', 'p1', posted.append
             )
-            ask = messages.AskStatus('u2', 1, 2, places.ORIGIN, 1000)
+            ask = messages.AskStatus('u2', 1, 2, log_positions.ORIGIN, 1000)
             link.send(ask, 0)
             await link.opening
 
--- a/topazring/standin/log.py
+++ b/topazring/standin/log.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing
 
-from topazring.core import places
+from topazring.core import log_positions
 
 __all__ = ['Entry', 'Log', 'append', 'extend', 'fence', 'last_place', 'lead']
 
@@ -34,11 +34,13 @@
     entries: list[Entry] = dataclasses.field(default_factory=list)
 
 
-def last_place(log: Log) -> places.Place:
+def last_place(log: Log) -> log_positions.LogPosition:
     """Return the place of the last entry."""
     if not log.entries:
-        return places.ORIGIN
-    return places.Place(log.entries[-1].log_term, len(log.entries))
+        return log_positions.ORIGIN
+    return log_positions.LogPosition(
+        log.entries[-1].log_term, len(log.entries)
+    )
 
 
 def fence(log: Log, term: int, claimant: str) -> bool:
@@ -69,7 +71,7 @@
     return True
 
 
-def append(log: Log, entry: Entry) -> places.Place:
+def append(log: Log, entry: Entry) -> log_positions.LogPosition:
     """Append an entry as the primary."""
     log.entries.append(entry)
     return last_place(log)
@@ -78,7 +80,7 @@
 def extend(
     log: Log,
     term: int,
-    after: places.Place,
+    after: log_positions.LogPosition,
     entries: list[Entry],
 ) -> tuple[bool, int | None]:
     """Take entries from the primary of `term`, as a replica.
@@ -106,7 +108,7 @@
     return True, cut
 
 
-def _holds(log: Log, place: places.Place) -> bool:
+def _holds(log: Log, place: log_positions.LogPosition) -> bool:
     if place.position == 0:
         return True
     if place.position > len(log.entries):
--- a/topazring/standin/replication.py
+++ b/topazring/standin/replication.py
@@ -7,7 +7,7 @@
 import msgspec
 from tornado import websocket
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.plumbing import logs as part_logs
 from topazring.standin import log as logs
 from topazring.standin import settings
@@ -155,7 +155,7 @@
 
     def apply(self, message: Append) -> Acknowledge:
         """Take the entries of a message that is due."""
-        after = places.Place(*message.after)
+        after = log_positions.LogPosition(*message.after)
         fits, cut = logs.extend(self.log, message.term, after, message.entries)
         self.on_extended(cut)
         return self._acknowledge(fits, after.position)
--- a/topazring/standin/upstream.py
+++ b/topazring/standin/upstream.py
@@ -6,8 +6,8 @@
 from tornado import httpserver
 from tornado import web
 
+from topazring.core import log_positions
 from topazring.core import outcomes
-from topazring.core import places
 from topazring.core import request_ids
 from topazring.core import requests
 from topazring.plumbing import clock
@@ -152,7 +152,9 @@
         self.busy += 1
 
     async def _reach(self, ask: wire.SqlAsk) -> None:
-        wanted = places.Place(ask.wait_log_term, ask.wait_position)
+        wanted = log_positions.LogPosition(
+            ask.wait_log_term, ask.wait_position
+        )
         until = time.monotonic() + ask.wait_ms / 1000
         while logs.last_place(self.log) < wanted:
             left_s = until - time.monotonic()
--- a/topazring/standin/upstream_sockets.py
+++ b/topazring/standin/upstream_sockets.py
@@ -8,7 +8,7 @@
 from tornado import web
 from tornado import websocket
 
-from topazring.core import places
+from topazring.core import log_positions
 from topazring.core import requests
 from topazring.plumbing import sockets
 from topazring.standin import log as logs
@@ -125,13 +125,13 @@
 
     async def _wait(self, ask: wire.ControlAsk) -> None:
         log = self.upstream.log
-        wanted = places.Place(ask.log_term, ask.position)
+        wanted = log_positions.LogPosition(ask.log_term, ask.position)
         until = time.monotonic() + ask.wait_ms / 1000
         while log.accepted_term <= ask.term:
             place = logs.last_place(log)
             left_s = until - time.monotonic()
             held = place.log_term == ask.term and place >= wanted
-            if held or wanted == places.ORIGIN or left_s <= 0:
+            if held or wanted == log_positions.ORIGIN or left_s <= 0:
                 return
             await self.upstream.wait_change(left_s)
 
--- a/topazring/tests/rivals.py
+++ b/topazring/tests/rivals.py
@@ -5,7 +5,7 @@
 from tornado import websocket
 
 from topazring.core import grants
-from topazring.core import places
+from topazring.core import log_positions
 from topazring import key_value
 from topazring import wire
 
@@ -44,7 +44,7 @@
         if not all(reply.accepted for reply in replies):
             return
         at = {
-            name: places.Place(reply.log_term, reply.position)
+            name: log_positions.LogPosition(reply.log_term, reply.position)
             for name, reply in zip(names, replies, strict=True)
         }
         chosen = max(names, key=lambda name: at[name])
--- a/topazring/wire.py
+++ b/topazring/wire.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from topazring.core import log_positions
 from topazring.core import messages
-from topazring.core import places
 
 __all__ = [
     'ControlAsk',
@@ -100,6 +100,6 @@
         upstream,
         reply.accepted_term,
         reply.leads,
-        places.Place(reply.log_term, reply.position),
+        log_positions.LogPosition(reply.log_term, reply.position),
         silent_ms,
     )
