--- a/topazring/bench/ablations.py
+++ b/topazring/bench/ablations.py
@@ -53,7 +53,7 @@
     """Acknowledge on any reply of a replica, whatever it holds."""
 
     def confirm_all(state, round_id, status, majority):
-        state.asked.get(status.upstream, {}).pop(round_id, None)
+        state.in_flight.get(status.upstream, {}).pop(round_id, None)
         confirmed = list(state.waiters.values())
         state.waiters.clear()
         return confirmed
@@ -153,9 +153,9 @@
         staleness_ms = request.profile.max_staleness_ms
         if staleness_ms <= 0:
             return None
-        return views.staleness_place(view, now_ms, staleness_ms)
+        return views.staleness_position(view, now_ms, staleness_ms)
 
-    return mock.patch.object(routing, 'required_place', required)
+    return mock.patch.object(routing, 'required_position', required)
 
 
 @ablation
@@ -167,7 +167,7 @@
             return None
         return request.token_place
 
-    return mock.patch.object(routing, 'required_place', required)
+    return mock.patch.object(routing, 'required_position', required)
 
 
 @ablation
@@ -181,7 +181,7 @@
         lost = outcomes.NotRun(reason, 50)
         return completion.finish(state, work, lost)
 
-    return mock.patch.object(completion, 'reopen', reopen)
+    return mock.patch.object(completion, 'resolve_in_doubt', reopen)
 
 
 @ablation
--- a/topazring/core/admission.py
+++ b/topazring/core/admission.py
@@ -7,14 +7,14 @@
 __all__ = [
     'FairQueue',
     'count_ahead',
-    'estimate_wait',
+    'estimate_wait_ms',
     'pop',
     'push',
     'remove',
     'size',
 ]
 
-TURN_WEIGHT = 0.1
+TURN_INTERVAL_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,8 +34,10 @@
     )
     count: int = 0
     # How far apart an organisation's turns came while it had a line.
-    turn_ms: dict[str, float] = dataclasses.field(default_factory=dict)
-    turned_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    turn_interval_ms: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
+    last_turn_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 def size(queue: FairQueue) -> int:
@@ -75,13 +77,13 @@
 
 
 def _note_turn(queue: FairQueue, organisation: str, now_ms: int) -> None:
-    last_ms = queue.turned_ms.get(organisation)
-    queue.turned_ms[organisation] = now_ms
+    last_ms = queue.last_turn_ms.get(organisation)
+    queue.last_turn_ms[organisation] = now_ms
     if last_ms is None:
         return
-    known = queue.turn_ms.get(organisation, float(now_ms - last_ms))
-    known += (now_ms - last_ms - known) * TURN_WEIGHT
-    queue.turn_ms[organisation] = known
+    known = queue.turn_interval_ms.get(organisation, float(now_ms - last_ms))
+    known += (now_ms - last_ms - known) * TURN_INTERVAL_WEIGHT
+    queue.turn_interval_ms[organisation] = known
 
 
 def remove(queue: FairQueue, organisation: str, key: int) -> None:
@@ -105,7 +107,7 @@
         return
     del queue.heaps[organisation]
     queue.turns.remove(organisation)
-    queue.turned_ms.pop(organisation, None)
+    queue.last_turn_ms.pop(organisation, None)
 
 
 def count_ahead(queue: FairQueue, organisation: str) -> int:
@@ -117,7 +119,7 @@
     return sum(min(len(line), turns) for line in queue.heaps.values())
 
 
-def estimate_wait(
+def estimate_wait_ms(
     queue: FairQueue, organisation: str, slots: int, service_ms: float
 ) -> float:
     """Estimate how long a new request of this organisation would wait.
@@ -129,5 +131,5 @@
     """
     own = len(queue.heaps.get(organisation, ()))
     by_lines = count_ahead(queue, organisation) * service_ms / max(1, slots)
-    by_turns = own * queue.turn_ms.get(organisation, 0.0)
+    by_turns = own * queue.turn_interval_ms.get(organisation, 0.0)
     return max(by_lines, by_turns)
--- a/topazring/core/arrival.py
+++ b/topazring/core/arrival.py
@@ -10,10 +10,10 @@
 from topazring.core import view as views
 
 __all__ = [
-    'majority_lag',
-    'too_late',
+    'majority_lag_ms',
+    'check_deadline',
     'submit',
-    'usual_lag',
+    'usual_lag_ms',
 ]
 
 Out = list
@@ -22,11 +22,11 @@
 
 # A wait is taken to be that much longer than estimated: who is admitted
 # and then too late has waited for nothing.
-CAUTION = 1.25
+WAIT_SAFETY_FACTOR = 1.25
 # Time that has to be left, as a multiple of what is usually needed.
-TIGHT = 1.5
+DEADLINE_SAFETY_FACTOR = 1.5
 # Replicas whose lag is so many times a statement's time are the cause.
-LAG_IS_CAUSE = 10
+HIGH_LAG_FACTOR = 10
 
 
 def submit(
@@ -37,7 +37,7 @@
     work = states.Work(request, now_ms, maybe_ran=request.repeat)
     state.work[request.key] = work
     if request.kind is Kind.SETTLE:
-        work.settling = True
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
@@ -60,12 +60,12 @@
     if transaction is None and request.kind is Kind.COMMIT:
         # It may be a second copy of a commit that took effect; only the
         # record knows.
-        work.settling = True
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
     lost = outcomes.NotRun(
-        Reason.TRANSACTION_LOST, completion.LEAST_RETRY_AFTER_MS
+        Reason.TRANSACTION_LOST, completion.MIN_RETRY_AFTER_MS
     )
     return completion.finish(state, work, lost)
 
@@ -78,26 +78,30 @@
     primary_needed = (
         completion.queue_for(state, request, False) is state.primary_queue
     )
-    if primary_needed and expiry.is_cut_off(state, now_ms):
-        return completion.refuse(Reason.NO_PRIMARY, expiry.CUT_OFF_MS)
-    reason = too_late(state, now_ms, request)
+    if primary_needed and expiry.is_primary_unreachable(state, now_ms):
+        return completion.make_refusal(
+            Reason.NO_PRIMARY, expiry.UNREACHABLE_MS
+        )
+    reason = check_deadline(state, now_ms, request)
     if reason is not None:
-        return completion.refuse(reason, majority_lag(state, now_ms))
+        return completion.make_refusal(reason, majority_lag_ms(state, now_ms))
     queue = completion.queue_for(state, request, primary_only=False)
-    wait_ms = admission.estimate_wait(
+    wait_ms = admission.estimate_wait_ms(
         queue, request.organisation, state.limits.slots, state.service_ms
     )
-    wait_ms = wait_ms * CAUTION + _needed_ms(state, now_ms, request.kind)
+    wait_ms = wait_ms * WAIT_SAFETY_FACTOR + _needed_ms(
+        state, now_ms, request.kind
+    )
     if wait_ms > left_ms:
-        return completion.refuse(Reason.OVERLOAD, wait_ms - left_ms)
+        return completion.make_refusal(Reason.OVERLOAD, wait_ms - left_ms)
     if request.kind is Kind.BEGIN:
         most = state.limits.connections - state.limits.slots - 1
         if len(state.transactions) >= max(1, most):
-            return completion.refuse(Reason.CONNECTION_LIMIT, 0)
+            return completion.make_refusal(Reason.CONNECTION_LIMIT, 0)
     return None
 
 
-def too_late(
+def check_deadline(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> Reason | None:
     """Say why a request would end in doubt if it began now, if it would.
@@ -109,7 +113,7 @@
     if request.deadline_ms - now_ms >= needed:
         return None
     if request.kind is Kind.WRITE:
-        if majority_lag(state, now_ms) > state.service_ms * LAG_IS_CAUSE:
+        if majority_lag_ms(state, now_ms) > state.service_ms * HIGH_LAG_FACTOR:
             return Reason.REPLICAS_BEHIND
     return Reason.DEADLINE
 
@@ -118,23 +122,23 @@
     """Return the time that a request should have left when it begins."""
     needed = state.service_ms
     if kind is Kind.WRITE:
-        needed += majority_lag(state, now_ms)
-    return needed * TIGHT
+        needed += majority_lag_ms(state, now_ms)
+    return needed * DEADLINE_SAFETY_FACTOR
 
 
-def usual_lag(state: states.OwnerState) -> float:
+def usual_lag_ms(state: states.OwnerState) -> float:
     """Return how long a majority usually takes to hold a new place."""
     lags = {name: u.lag_ms for name, u in state.view.upstreams.items()}
     return _lag_of_majority(state, lags)
 
 
-def majority_lag(state: states.OwnerState, now_ms: int) -> float:
+def majority_lag_ms(state: states.OwnerState, now_ms: int) -> float:
     """Return the same, or what it takes just now if that is longer."""
     lags = {}
     for name, seen in state.view.upstreams.items():
         lags[name] = seen.lag_ms
-        if seen.awaited is not None:
-            lags[name] = max(seen.lag_ms, now_ms - seen.awaited.sent_ms)
+        if seen.lag_sample is not None:
+            lags[name] = max(seen.lag_ms, now_ms - seen.lag_sample.sent_ms)
     return _lag_of_majority(state, lags)
 
 
--- a/topazring/core/followers.py
+++ b/topazring/core/followers.py
@@ -15,18 +15,18 @@
 from topazring.core import hashing
 
 __all__ = [
-    'Hearing',
-    'choose',
+    'FollowerBackoff',
+    'choose_follower',
     'followers_of',
-    'has_hearers',
-    'saw_failure',
+    'uses_followers',
+    'record_failure',
 ]
 
 # One that is lost leaves another one; more only cost calls.
 FOLLOWERS = 2
 # A data centre with one proxy more would spare one watch, and pay for it
 # with a step on the way of each change.
-LEAST_HEARERS = 2
+MIN_NON_FOLLOWERS = 2
 # A follower that did not answer, or does not follow, is left alone for so
 # long: a frozen proxy wakes within seconds, and each try of a dead one delays
 # what may have changed meanwhile.
@@ -34,15 +34,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Hearing:
+class FollowerBackoff:
     """Hold whom a proxy does not want to hear, and until when."""
 
     avoid_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def has_hearers(names: collections.abc.Collection[str]) -> bool:
+def uses_followers(names: collections.abc.Collection[str]) -> bool:
     """Say whether some of a data centre's proxies hear others."""
-    return len(names) >= FOLLOWERS + LEAST_HEARERS
+    return len(names) >= FOLLOWERS + MIN_NON_FOLLOWERS
 
 
 def followers_of(
@@ -55,13 +55,13 @@
     >>> len(followers_of([f'p{number}' for number in range(40)]))
     2
     """
-    if not has_hearers(names):
+    if not uses_followers(names):
         return tuple(sorted(names))
     return hashing.first_by_score('followers', names, FOLLOWERS)
 
 
-def choose(
-    hearing: Hearing,
+def choose_follower(
+    hearing: FollowerBackoff,
     now_ms: int,
     name: str,
     names: collections.abc.Collection[str],
@@ -80,6 +80,8 @@
     return ''
 
 
-def saw_failure(hearing: Hearing, now_ms: int, follower: str) -> None:
+def record_failure(
+    hearing: FollowerBackoff, now_ms: int, follower: str
+) -> None:
     """Leave a follower alone for a while that could not be heard."""
     hearing.avoid_until_ms[follower] = now_ms + AVOID_MS
--- a/topazring/core/forwarding.py
+++ b/topazring/core/forwarding.py
@@ -6,19 +6,27 @@
 from topazring.core import outcomes
 from topazring.core import requests
 
-__all__ = ['Finish', 'Pause', 'Plan', 'Send', 'begin', 'next_step', 'note']
+__all__ = [
+    'Finish',
+    'Pause',
+    'Plan',
+    'Send',
+    'make_plan',
+    'next_step',
+    'record_result',
+]
 
 Kind = requests.Kind
 Reason = outcomes.Reason
 
 PAUSE_MS = 50
 # The hop back needs a little of the caller's time.
-MARGIN_MS = 20
+RETURN_MARGIN_MS = 20
 # These say that the owner cannot, not that the request is at fault.
-OWNER_CANNOT = frozenset(
+OWNER_UNAVAILABLE = frozenset(
     {Reason.NO_PRIMARY, Reason.DRAINING, Reason.NO_CONFIGURATION}
 )
-ON_CONNECTION = frozenset({Kind.EXECUTE, Kind.COMMIT, Kind.ROLLBACK})
+IN_TRANSACTION = frozenset({Kind.EXECUTE, Kind.COMMIT, Kind.ROLLBACK})
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,7 +39,7 @@
     # The only owner that holds the transaction's connection.
     bound_to: str = ''
     tried: list[str] = dataclasses.field(default_factory=list)
-    settling: bool = False
+    is_resolving: bool = False
     maybe_ran: bool = False
     last: outcomes.Outcome | None = None
     final: outcomes.Outcome | None = None
@@ -61,7 +69,7 @@
     outcome: outcomes.Outcome
 
 
-def begin(
+def make_plan(
     kind: Kind,
     repeatable: bool,
     deadline_ms: int,
@@ -74,8 +82,8 @@
     transaction is no longer open here.
     """
     plan = Plan(kind, repeatable, deadline_ms, bound_to)
-    plan.settling = kind is Kind.COMMIT and not bound_to
-    plan.maybe_ran = repeat or plan.settling
+    plan.is_resolving = kind is Kind.COMMIT and not bound_to
+    plan.maybe_ran = repeat or plan.is_resolving
     return plan
 
 
@@ -86,13 +94,13 @@
     if plan.final is not None:
         return Finish(plan.final)
     left_ms = plan.deadline_ms - now_ms
-    if left_ms <= MARGIN_MS:
+    if left_ms <= RETURN_MARGIN_MS:
         return Finish(_give_up(plan, Reason.DEADLINE))
-    if plan.bound_to and not plan.settling:
-        return Send(plan.bound_to, False, left_ms - MARGIN_MS)
+    if plan.bound_to and not plan.is_resolving:
+        return Send(plan.bound_to, False, left_ms - RETURN_MARGIN_MS)
     for owner in owners:
         if owner not in plan.tried:
-            return Send(owner, plan.settling, left_ms - MARGIN_MS)
+            return Send(owner, plan.is_resolving, left_ms - RETURN_MARGIN_MS)
     if plan.maybe_ran and owners:
         # Its fate is open: keep asking whoever is there until it is known.
         plan.tried.clear()
@@ -108,33 +116,33 @@
     return outcomes.NotRun(reason, 200)
 
 
-def note(
-    plan: Plan, owner: str, result: outcomes.Outcome | messages.Lost
+def record_result(
+    plan: Plan, owner: str, result: outcomes.Outcome | messages.ConnectionLost
 ) -> None:
     """Take in what an owner answered, or that it was lost."""
     plan.tried.append(owner)
-    if isinstance(result, messages.Lost):
+    if isinstance(result, messages.ConnectionLost):
         _note_lost(plan, result)
         return
-    bound = plan.kind in ON_CONNECTION and not plan.settling
+    bound = plan.kind in IN_TRANSACTION and not plan.is_resolving
     match result:
-        case outcomes.NotRun(reason=reason) if reason in OWNER_CANNOT:
+        case outcomes.NotRun(reason=reason) if reason in OWNER_UNAVAILABLE:
             if not bound:
                 plan.last = result
                 plan.reason = reason
                 return
-        case outcomes.Unknown(reason=reason) if reason in OWNER_CANNOT:
+        case outcomes.Unknown(reason=reason) if reason in OWNER_UNAVAILABLE:
             # Another owner may still reach the primary and find out.
-            _note_lost(plan, messages.Lost(reason, True))
+            _note_lost(plan, messages.ConnectionLost(reason, True))
             return
         case outcomes.NotRun(reason=reason) if plan.maybe_ran:
-            if not plan.settling and reason is not Reason.CANCELLED:
+            if not plan.is_resolving and reason is not Reason.CANCELLED:
                 # It speaks of this copy; the one before may have run.
                 result = outcomes.Unknown(reason)
     plan.final = result
 
 
-def _note_lost(plan: Plan, lost: messages.Lost) -> None:
+def _note_lost(plan: Plan, lost: messages.ConnectionLost) -> None:
     plan.reason = lost.reason
     if plan.kind in (Kind.EXECUTE, Kind.ROLLBACK):
         # The owner closes a transaction's connection with its entry's link,
@@ -142,12 +150,12 @@
         plan.final = outcomes.NotRun(Reason.TRANSACTION_LOST, 50)
         return
     if not lost.sent:
-        if plan.kind is Kind.COMMIT and not plan.settling:
+        if plan.kind is Kind.COMMIT and not plan.is_resolving:
             plan.final = outcomes.NotRun(Reason.TRANSACTION_LOST, 50)
         return
     if plan.kind is Kind.BEGIN:
         return
     plan.maybe_ran = True
     again = plan.repeatable and plan.kind is Kind.WRITE
-    if plan.kind in requests.WRITES and not again:
-        plan.settling = True
+    if plan.kind in requests.RECORDED_KINDS and not again:
+        plan.is_resolving = True
--- a/topazring/core/grants.py
+++ b/topazring/core/grants.py
@@ -9,11 +9,11 @@
 import dataclasses
 import json
 
-__all__ = ['GroupRecord', 'allot', 'choose_primary', 'parse', 'terms_of']
+__all__ = ['GroupRecord', 'grant_terms', 'record_primary', 'parse', 'terms_of']
 
 # Terms to an owner at a time: a second and third failure within one outage
 # of the service still find a usable term.
-BLOCK = 4
+TERMS_PER_OWNER = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     return tuple(term for term, holder in record.grants if holder == owner)
 
 
-def allot(
+def grant_terms(
     record: GroupRecord,
     owner: str,
     above: int,
@@ -53,16 +53,18 @@
 ) -> GroupRecord:
     """Grant an owner a block of terms, leaving gaps for the others.
 
-    >>> record = allot(GroupRecord(), 'a', 0, 2, 'x')
+    >>> record = grant_terms(GroupRecord(), 'a', 0, 2, 'x')
     >>> terms_of(record, 'a')
     (1, 3, 5, 7)
-    >>> terms_of(allot(record, 'b', 0, 2, 'y'), 'b')
+    >>> terms_of(grant_terms(record, 'b', 0, 2, 'y'), 'b')
     (2, 6, 9, 11)
     """
     base = max(record.term, above)
     kept = tuple(grant for grant in record.grants if grant[0] > base)
     taken = {term for term, _ in kept}
-    missing = BLOCK - len([1 for _, holder in kept if holder == owner])
+    missing = TERMS_PER_OWNER - len(
+        [1 for _, holder in kept if holder == owner]
+    )
     granted = []
     for index, term in enumerate(_free_terms(base, taken)):
         if len(granted) >= missing:
@@ -81,7 +83,7 @@
         term += 1
 
 
-def choose_primary(
+def record_primary(
     record: GroupRecord, term: int, primary: str, change_id: str
 ) -> GroupRecord | None:
     """Record a promotion; None if a later one is recorded already."""
--- a/topazring/core/log_positions.py
+++ b/topazring/core/log_positions.py
@@ -12,7 +12,7 @@
     The term comes first: the tail of a replaced primary can be longer than
     its successor's log and is behind it all the same.
 
-    >>> Place(2, 5) > Place(1, 900)
+    >>> LogPosition(2, 5) > LogPosition(1, 900)
     True
     """
 
--- a/topazring/core/members.py
+++ b/topazring/core/members.py
@@ -9,20 +9,20 @@
     'Member',
     'Members',
     'candidates_of',
-    'reachable',
-    'saw_answer',
-    'saw_failure',
-    'take_leaving',
-    'take_list',
+    'is_reachable',
+    'record_answer',
+    'record_failure',
+    'record_departure',
+    'apply_list',
     'watchers_of',
 ]
 
 # A peer that failed is passed over for that long, then tried again.
-FAILED_MS = 1500
+FAILURE_BACKOFF_MS = 1500
 # Incarnations that left are remembered, so that a stale list cannot bring
 # them back. The list lags by seconds; this is far more.
-LEFT_KEPT = 4096
-WATCHERS_A_REGION = 3
+MAX_DEPARTED = 4096
+WATCHERS_PER_REGION = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,17 +45,17 @@
     """Hold who is there, as far as this proxy can tell."""
 
     listed: dict[str, Member] = dataclasses.field(default_factory=dict)
-    left: dict[str, None] = dataclasses.field(default_factory=dict)
+    departed: dict[str, None] = dataclasses.field(default_factory=dict)
     failed_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def take_list(
+def apply_list(
     members: Members, listed: collections.abc.Iterable[Member]
 ) -> None:
     """Take in the platform's list; whom peers saw leave stays gone."""
     current = {}
     for member in listed:
-        if member.incarnation not in members.left:
+        if member.incarnation not in members.departed:
             current[member.name] = member
     for name, member in members.listed.items():
         after = current.get(name)
@@ -67,9 +67,9 @@
     members.listed = current
 
 
-def take_leaving(members: Members, name: str, incarnation: str) -> bool:
+def record_departure(members: Members, name: str, incarnation: str) -> bool:
     """Take a peer's word that it leaves; say whether it is news."""
-    if incarnation in members.left:
+    if incarnation in members.departed:
         return False
     _mark_left(members, incarnation)
     member = members.listed.get(name)
@@ -79,25 +79,25 @@
 
 
 def _mark_left(members: Members, incarnation: str) -> None:
-    members.left[incarnation] = None
-    while len(members.left) > LEFT_KEPT:
-        del members.left[next(iter(members.left))]
+    members.departed[incarnation] = None
+    while len(members.departed) > MAX_DEPARTED:
+        del members.departed[next(iter(members.departed))]
 
 
-def saw_failure(members: Members, name: str, now_ms: int) -> None:
+def record_failure(members: Members, name: str, now_ms: int) -> None:
     """Note that a peer could not be reached or went silent."""
     members.failed_ms[name] = now_ms
 
 
-def saw_answer(members: Members, name: str) -> None:
+def record_answer(members: Members, name: str) -> None:
     """Note that a peer answered."""
     members.failed_ms.pop(name, None)
 
 
-def reachable(members: Members, name: str, now_ms: int) -> bool:
+def is_reachable(members: Members, name: str, now_ms: int) -> bool:
     """Say whether a peer is worth trying."""
     failed_ms = members.failed_ms.get(name)
-    return failed_ms is None or now_ms - failed_ms > FAILED_MS
+    return failed_ms is None or now_ms - failed_ms > FAILURE_BACKOFF_MS
 
 
 def candidates_of(members: Members) -> list[hashing.Candidate]:
@@ -120,4 +120,4 @@
         for m in members.listed.values()
         if m.region == region and not m.leaving
     ]
-    return hashing.first_by_score('watchers', names, WATCHERS_A_REGION)
+    return hashing.first_by_score('watchers', names, WATCHERS_PER_REGION)
--- a/topazring/core/messages.py
+++ b/topazring/core/messages.py
@@ -10,30 +10,30 @@
 __all__ = [
     'Abandon',
     'Answer',
-    'AskStatus',
+    'RequestStatus',
     'CloseTransaction',
     'Executed',
     'Execute',
-    'Explained',
+    'RecordDecision',
     'Fence',
     'FenceReply',
-    'GrantsSeen',
+    'GrantsReceived',
     'Lead',
     'LeadReply',
-    'Lost',
-    'NeedGrants',
-    'OwnersSeen',
-    'PeerSuspects',
-    'PrimaryChosen',
+    'ConnectionLost',
+    'RequestGrants',
+    'OwnersChanged',
+    'PeerSuspicion',
+    'RecordPrimary',
     'LinkOpened',
     'ProbeFailed',
     'Ran',
     'Refused',
     'Status',
-    'StatusSeen',
+    'StatusReceived',
     'Submit',
     'SqlFailed',
-    'TellSuspicion',
+    'SendSuspicion',
     'Tick',
     'UpstreamsLeaving',
     'Withdraw',
@@ -97,14 +97,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ConnectionLost:
     """Report a connection lost or silent; `sent` leaves the fate open."""
 
     reason: outcomes.Reason
     sent: bool
 
 
-Result = Ran | Refused | SqlFailed | Lost
+Result = Ran | Refused | SqlFailed | ConnectionLost
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StatusSeen:
+class StatusReceived:
     """Report a status; `round_id` is 0 outside a confirmation round."""
 
     status: Status
@@ -146,7 +146,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerSuspects:
+class PeerSuspicion:
     """Report what another owner thinks of the primary of a term."""
 
     owner: str
@@ -155,14 +155,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OwnersSeen:
+class OwnersChanged:
     """Report the live owners of the database in preference order."""
 
     owners: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantsSeen:
+class GrantsReceived:
     """Report the terms that are this owner's alone to use."""
 
     terms: tuple[int, ...]
@@ -220,7 +220,7 @@
     request: requests.Request
     at_replica: bool = False
     # A replica runs the read once it has reached this place.
-    wait_place: log_positions.LogPosition = log_positions.ORIGIN
+    wait_position: log_positions.LogPosition = log_positions.ORIGIN
     wait_ms: int = 0
     timeout_ms: int = 0
 
@@ -234,7 +234,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskStatus:
+class RequestStatus:
     """Ask for a status as soon as it answers the round.
 
     That is when `place` is held under `term`, when a higher term was
@@ -265,7 +265,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellSuspicion:
+class SendSuspicion:
     """Tell the other owners what this one thinks of the primary."""
 
     term: int
@@ -273,14 +273,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NeedGrants:
+class RequestGrants:
     """Ask for terms above the highest that was seen."""
 
     above_term: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PrimaryChosen:
+class RecordPrimary:
     """Ask for the platform's record to be brought up to date."""
 
     term: int
@@ -295,7 +295,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Explained:
+class RecordDecision:
     """Tell the operators what was decided and on what grounds."""
 
     what: str
--- a/topazring/core/placement.py
+++ b/topazring/core/placement.py
@@ -22,8 +22,8 @@
 # Candidates kept a database, and how few may be left before all are scored
 # again. Two data centres among so many fail to show up only if there are
 # hardly two.
-KEPT = 16
-FEWEST = 8
+MAX_CANDIDATES = 16
+MIN_CANDIDATES = 8
 
 
 @dataclasses.dataclass(slots=True)
@@ -127,7 +127,7 @@
             bisect.insort(
                 best, (-hashing.score(name, candidate.name), candidate.name)
             )
-            del best[KEPT:]
+            del best[MAX_CANDIDATES:]
             touched.add(name)
     return touched
 
@@ -149,9 +149,9 @@
         return False
     pool = _pool(placement, region)
     best = placement.best.get(name)
-    if best is None or len(best) < min(FEWEST, len(pool)):
+    if best is None or len(best) < min(MIN_CANDIDATES, len(pool)):
         scored = sorted((-hashing.score(name, other), other) for other in pool)
-        best = placement.best[name] = scored[:KEPT]
+        best = placement.best[name] = scored[:MAX_CANDIDATES]
     centres = {pool[other].data_centre for _, other in best}
     chosen = best
     if len(centres) < placement.count:
--- a/topazring/core/promotion.py
+++ b/topazring/core/promotion.py
@@ -21,12 +21,12 @@
     'begin',
     'expire',
     'note_fenced',
-    'note_leading',
+    'note_lead_reply',
     'resend',
 ]
 
 # How long to wait for a majority that does without the suspect.
-GRACE_MS = 200
+SUSPECT_GRACE_MS = 200
 RESEND_MS = 150
 ATTEMPT_MS = 1200
 
@@ -95,7 +95,7 @@
     if len(preferred) < needed:
         # The suspect is one of the only majority there is. It may hold the
         # furthest log, so it has to be a candidate, after a grace.
-        in_grace = now_ms - attempt.began_ms < GRACE_MS
+        in_grace = now_ms - attempt.began_ms < SUSPECT_GRACE_MS
         if len(attempt.fenced) < needed or in_grace:
             return []
         candidates = attempt.fenced
@@ -108,7 +108,7 @@
     return [messages.Lead(attempt.chosen, attempt.term)]
 
 
-def note_leading(attempt: Attempt, reply: messages.LeadReply) -> None:
+def note_lead_reply(attempt: Attempt, reply: messages.LeadReply) -> None:
     """Take in the reply of the upstream that was told to lead."""
     if attempt.phase is not Phase.LEADING or reply.term != attempt.term:
         return
--- a/topazring/core/request_ids.py
+++ b/topazring/core/request_ids.py
@@ -11,7 +11,7 @@
 
 _FORM = re.compile(r'([0-9a-f]{11,12})-([0-9a-zA-Z]{8,40})')
 # Clocks of callers may run ahead of ours by that much.
-AHEAD_MS = 60_000
+MAX_CLOCK_LEAD_MS = 60_000
 
 
 def make_request_id(now_ms: int, random_text: str) -> str:
@@ -31,4 +31,4 @@
 def is_too_old(request_id: str, now_ms: int, kept_ms: int) -> bool:
     """Say whether the id's record may be gone, or its time is not yet."""
     made_ms = int(request_id.split('-')[0], 16)
-    return made_ms < now_ms - kept_ms or made_ms > now_ms + AHEAD_MS
+    return made_ms < now_ms - kept_ms or made_ms > now_ms + MAX_CLOCK_LEAD_MS
--- a/topazring/core/retries.py
+++ b/topazring/core/retries.py
@@ -5,9 +5,9 @@
 __all__ = ['Budget', 'earn', 'spend']
 
 # At full load retries add no more than a tenth to what upstreams carry.
-SHARE = 0.1
-RESERVE = 10.0
-MOST = 100.0
+BALANCE_PER_SUCCESS = 0.1
+INITIAL_BALANCE = 10.0
+MAX_BALANCE = 100.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -19,12 +19,12 @@
     finite; the reserve lets a quiet database retry at all.
     """
 
-    balance: float = RESERVE
+    balance: float = INITIAL_BALANCE
 
 
 def earn(budget: Budget) -> None:
     """Add a success's share."""
-    budget.balance = min(MOST, budget.balance + SHARE)
+    budget.balance = min(MAX_BALANCE, budget.balance + BALANCE_PER_SUCCESS)
 
 
 def spend(budget: Budget) -> bool:
--- a/topazring/core/revisions.py
+++ b/topazring/core/revisions.py
@@ -3,12 +3,19 @@
 import collections.abc
 import dataclasses
 
-__all__ = ['Change', 'Revisions', 'delta', 'lacking', 'merge', 'note_gap']
+__all__ = [
+    'Change',
+    'Revisions',
+    'delta',
+    'missing_changes',
+    'merge',
+    'record_compaction',
+]
 
 # A delta is cut after so many bytes of values; the rest follows.
 DELTA_BYTES = 48_000
 # Of more gaps than these the oldest two are taken for one.
-MOST_GAPS = 8
+MAX_COMPACTED_RANGES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +35,9 @@
     changes: dict[str, Change] = dataclasses.field(default_factory=dict)
     # From and up to which revision everything was read at once: of a key that
     # came and ended in between nothing is known.
-    gaps: list[tuple[int, int]] = dataclasses.field(default_factory=list)
+    compacted_ranges: list[tuple[int, int]] = dataclasses.field(
+        default_factory=list
+    )
 
 
 def merge(
@@ -68,7 +77,7 @@
     return revisions.seen, later
 
 
-def note_gap(
+def record_compaction(
     revisions: Revisions, upto: int, present: collections.abc.Iterable[Change]
 ) -> list[Change]:
     """Return the ends of keys that are missing where all was read at once.
@@ -76,10 +85,10 @@
     To be called before what was read is merged.
     """
     if upto > revisions.seen:
-        revisions.gaps.append((revisions.seen, upto))
-    if len(revisions.gaps) > MOST_GAPS:
-        first, second, *others = revisions.gaps
-        revisions.gaps = [(first[0], second[1]), *others]
+        revisions.compacted_ranges.append((revisions.seen, upto))
+    if len(revisions.compacted_ranges) > MAX_COMPACTED_RANGES:
+        first, second, *others = revisions.compacted_ranges
+        revisions.compacted_ranges = [(first[0], second[1]), *others]
     there = {change.key for change in present}
     return [
         Change(key, upto, None)
@@ -88,7 +97,9 @@
     ]
 
 
-def lacking(revisions: Revisions, since: int) -> tuple[bool, list[Change]]:
+def missing_changes(
+    revisions: Revisions, since: int
+) -> tuple[bool, list[Change]]:
     """Return what someone lacks at `since`, and whether that is everything.
 
     Everything has to be compared by someone who stands in a gap: it may know
@@ -98,15 +109,16 @@
 
     >>> known = Revisions()
     >>> both = [Change('a', 1, 'x'), Change('b', 2, 'y')]
-    >>> _ = merge(known, 0, 5, [*note_gap(known, 5, both), *both])
-    >>> _ = merge(known, 0, 9, [*note_gap(known, 9, both[:1]), both[0]])
-    >>> lacking(known, 5)
+    >>> _ = merge(known, 0, 5, [*record_compaction(known, 5, both), *both])
+    >>> deletions = record_compaction(known, 9, both[:1])
+    >>> _ = merge(known, 0, 9, [*deletions, both[0]])
+    >>> missing_changes(known, 5)
     (False, [Change(key='b', revision=9, value=None)])
-    >>> lacking(known, 7)
+    >>> missing_changes(known, 7)
     (True, [Change(key='a', revision=1, value='x')])
     """
     everything = not since or any(
-        first < since < upto for first, upto in revisions.gaps
+        first < since < upto for first, upto in revisions.compacted_ranges
     )
     if not everything:
         changes = revisions.changes.values()
--- a/topazring/core/routing.py
+++ b/topazring/core/routing.py
@@ -7,10 +7,10 @@
 from topazring.core import requests
 from topazring.core import view as views
 
-__all__ = ['Route', 'choose_replica', 'required_place', 'valid_at_replica']
+__all__ = ['Route', 'choose_replica', 'required_position', 'valid_at_replica']
 
 # A replica unheard of for longer gets no new reads.
-FRESH_STATUS_MS = 1500
+MAX_STATUS_AGE_MS = 1500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     wait_ms: int
 
 
-def required_place(
+def required_position(
     view: views.GroupView, now_ms: int, request: requests.Request
 ) -> log_positions.LogPosition | None:
     """Return the place a replica has to reach for this read, if any will do.
@@ -33,7 +33,7 @@
     staleness_ms = request.profile.max_staleness_ms
     if staleness_ms <= 0:
         return None
-    place = views.staleness_place(view, now_ms, staleness_ms)
+    place = views.staleness_position(view, now_ms, staleness_ms)
     if place is None:
         return None
     return max(place, request.token_place)
@@ -51,7 +51,7 @@
     Replicas that are there already come first, the least busy before the
     others; then one that is predicted to arrive within the profile's wait.
     """
-    place = required_place(view, now_ms, request)
+    place = required_position(view, now_ms, request)
     if place is None:
         return None
     ready = []
@@ -89,7 +89,7 @@
         return False
     if seen.accepted_term != view.term:
         return False
-    return now_ms - seen.seen_ms <= FRESH_STATUS_MS
+    return now_ms - seen.seen_ms <= MAX_STATUS_AGE_MS
 
 
 def _predict_wait(
--- a/topazring/core/suspicion.py
+++ b/topazring/core/suspicion.py
@@ -14,9 +14,9 @@
 __all__ = [
     'Evidence',
     'Verdict',
-    'alarmed',
-    'failed',
-    'forget',
+    'has_failure',
+    'is_unreachable',
+    'reset',
     'judge',
     'note_alive',
     'note_failure',
@@ -26,14 +26,14 @@
 # Silence of the primary that its replicas have to report.
 REPLICA_SILENCE_MS = 350
 # A term without a primary is given up after that long.
-ABSENT_MS = 400
+NO_PRIMARY_MS = 400
 # Silence towards all replicas that counts even if the primary answers us.
 # It is longer: there is no failure of our own to go with it.
-CUT_OFF_SILENCE_MS = 650
+ISOLATED_PRIMARY_SILENCE_MS = 650
 # A replica that heard from its primary so lately speaks for it.
-HEARD_MS = 150
+RECENT_CONTACT_MS = 150
 # A replica's word is taken for that long.
-WITNESS_AGE_MS = 800
+MAX_REPORT_AGE_MS = 800
 # A local pause as long as this makes silence seen meanwhile worthless.
 PAUSE_MS = 150
 # After a pause, silence counts again once new probes had time to answer.
@@ -46,7 +46,7 @@
     ALIVE = 'alive'
     UNKNOWN = 'unknown'
     # It cannot be reached from here, while its replicas hear from it.
-    OURS = 'ours'
+    LOCAL_FAILURE = 'ours'
     SUSPECT = 'suspect'
 
 
@@ -57,10 +57,10 @@
     refused: int = 0
     silent_new: int = 0
     alive_ms: int = 0
-    blind_until_ms: int = 0
+    ignore_silence_until_ms: int = 0
 
 
-def forget(evidence: Evidence, now_ms: int) -> None:
+def reset(evidence: Evidence, now_ms: int) -> None:
     """Start anew with another primary."""
     evidence.refused = 0
     evidence.silent_new = 0
@@ -69,7 +69,7 @@
 
 def note_alive(evidence: Evidence, now_ms: int) -> None:
     """Count an answer of the primary."""
-    forget(evidence, now_ms)
+    reset(evidence, now_ms)
 
 
 def note_failure(evidence: Evidence, now_ms: int, kind: str) -> None:
@@ -80,7 +80,7 @@
     """
     if kind == 'refused':
         evidence.refused += 1
-    elif kind == 'silent_new' and now_ms >= evidence.blind_until_ms:
+    elif kind == 'silent_new' and now_ms >= evidence.ignore_silence_until_ms:
         evidence.silent_new += 1
 
 
@@ -93,15 +93,15 @@
     if paused_ms < PAUSE_MS:
         return
     evidence.silent_new = 0
-    evidence.blind_until_ms = now_ms + PAUSE_RECOVERY_MS
+    evidence.ignore_silence_until_ms = now_ms + PAUSE_RECOVERY_MS
 
 
-def failed(evidence: Evidence) -> bool:
+def is_unreachable(evidence: Evidence) -> bool:
     """Say whether this owner cannot reach the primary by any connection."""
     return evidence.refused >= 2 or evidence.silent_new >= 1
 
 
-def alarmed(evidence: Evidence) -> bool:
+def has_failure(evidence: Evidence) -> bool:
     """Say whether anything at all went wrong since the last answer."""
     return evidence.refused >= 1 or evidence.silent_new >= 1
 
@@ -110,13 +110,13 @@
     evidence: Evidence, view: views.GroupView, now_ms: int
 ) -> tuple[Verdict, str]:
     """Return the verdict on the primary and the grounds for it."""
-    if now_ms < evidence.blind_until_ms:
+    if now_ms < evidence.ignore_silence_until_ms:
         return Verdict.UNKNOWN, 'this proxy was paused itself'
     silences = _replica_silences(view, now_ms)
     needed = views.majority(view)
     if not view.primary:
         return _judge_absent(view, now_ms)
-    lost = failed(evidence)
+    lost = is_unreachable(evidence)
     least = min(silences, default=0)
     if lost and len(silences) >= needed and least >= REPLICA_SILENCE_MS:
         kind = 'refuses' if evidence.refused >= 2 else 'is silent to'
@@ -125,9 +125,9 @@
             f'{view.primary} {kind} new connections; its replicas have not '
             f'heard from it for {least} ms',
         )
-    if lost and len(silences) >= needed - 1 and least <= HEARD_MS:
+    if lost and len(silences) >= needed - 1 and least <= RECENT_CONTACT_MS:
         return (
-            Verdict.OURS,
+            Verdict.LOCAL_FAILURE,
             f'{view.primary} cannot be reached from here, but its replicas '
             f'heard from it {least} ms ago',
         )
@@ -137,7 +137,7 @@
             f'{view.primary} cannot be reached from here, but a majority '
             f'does not confirm that it is lost ({silences})',
         )
-    if len(silences) >= needed and least >= CUT_OFF_SILENCE_MS:
+    if len(silences) >= needed and least >= ISOLATED_PRIMARY_SILENCE_MS:
         return (
             Verdict.SUSPECT,
             f'{view.primary} answers but its replicas have not heard from '
@@ -156,7 +156,7 @@
         return Verdict.UNKNOWN, 'nothing was heard of this group yet'
     seen = [u for u in view.upstreams.values() if _is_recent(u, now_ms)]
     absent_ms = now_ms - view.changed_ms
-    if len(seen) >= views.majority(view) and absent_ms >= ABSENT_MS:
+    if len(seen) >= views.majority(view) and absent_ms >= NO_PRIMARY_MS:
         return (
             Verdict.SUSPECT,
             f'term {view.term} has had no primary for {absent_ms} ms',
@@ -165,7 +165,9 @@
 
 
 def _is_recent(seen: views.UpstreamView, now_ms: int) -> bool:
-    return seen.seen_ms is not None and now_ms - seen.seen_ms <= WITNESS_AGE_MS
+    return (
+        seen.seen_ms is not None and now_ms - seen.seen_ms <= MAX_REPORT_AGE_MS
+    )
 
 
 def _replica_silences(view: views.GroupView, now_ms: int) -> list[int]:
--- a/topazring/core/tests/world.py
+++ b/topazring/core/tests/simulation.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass
-class Mail:
+class Delivery:
     """Hold one message under way, as the call that delivers it."""
 
     deliver: object
@@ -44,22 +44,22 @@
     arrived: bool = False
 
 
-class World:
+class Simulation:
     """Hold all parts; every method is one thing that can happen."""
 
     def __init__(self, seed: int = 0):
         self.now = 10_000
         self.rng = random.Random(seed)
-        self.mail: list[Mail] = []
+        self.in_transit: list[Delivery] = []
         self.logs = {name: logs.Log(name) for name in UPSTREAMS}
         self.heard = dict.fromkeys(UPSTREAMS, self.now)
-        self.silence_lie = False
+        self.reports_false_silence = False
         self.paused: set[str] = set()
         self.owners = {name: self._make_owner(name) for name in OWNERS}
         self.incarnations = dict.fromkeys(OWNERS, 0)
         self.record = grants.GroupRecord()
         self.store = 'up'
-        self.parked: list[tuple[str, messages.AskStatus, object]] = []
+        self.parked: list[tuple[str, messages.RequestStatus, object]] = []
         self.running: dict[tuple[str, int, int], str] = {}
         self.closed: set[tuple[str, int, int]] = set()
         self.opened: dict[tuple[str, int, int], tuple[str, int]] = {}
@@ -70,7 +70,7 @@
         self.next_key = 1
         self.oracle = oracles.Oracle(self.logs, self.sessions)
         for name in OWNERS:
-            self.post(name, messages.OwnersSeen(OWNERS))
+            self.post(name, messages.OwnersChanged(OWNERS))
 
     def _make_owner(self, name: str) -> states.OwnerState:
         limits = states.Limits(slots=SLOTS, connections=6, queue=QUEUE)
@@ -96,10 +96,10 @@
         self.paused.discard(name)
         self.post(name, messages.Tick(self.rng.choice((0, 400))))
 
-    def see_owners(self, name: str, count: int) -> None:
+    def change_owners(self, name: str, count: int) -> None:
         """Have an owner's list of the owners differ from the others'."""
         order = self.rng.sample(OWNERS, len(OWNERS))
-        self.post(name, messages.OwnersSeen(tuple(order[:count])))
+        self.post(name, messages.OwnersChanged(tuple(order[:count])))
 
     def restart(self, name: str) -> None:
         """Replace an owner's process by one that knows nothing."""
@@ -113,24 +113,24 @@
                 session.bound = None
         # Its callers see their connection end: the fate is open.
         self.oracle.forget(name)
-        self.post(name, messages.OwnersSeen(OWNERS))
+        self.post(name, messages.OwnersChanged(OWNERS))
 
     def deliver(self, index: int) -> None:
         """Deliver one message, in any order."""
-        if self.mail:
-            mail = self.mail.pop(index % len(self.mail))
+        if self.in_transit:
+            mail = self.in_transit.pop(index % len(self.in_transit))
             mail.deliver()
 
     def lose(self, index: int, late: bool) -> None:
         """Lose one message; or say so while it is still under way."""
-        if not self.mail:
+        if not self.in_transit:
             return
-        index %= len(self.mail)
-        mail = self.mail[index]
+        index %= len(self.in_transit)
+        mail = self.in_transit[index]
         if mail.arrived:
             return
         if not late:
-            self.mail.pop(index)
+            self.in_transit.pop(index)
         if mail.lost is not None:
             lost, mail.lost = mail.lost, None
             lost()
@@ -149,9 +149,9 @@
             logs.extend(self.logs[target], term, log_positions.ORIGIN, entries)
             self._wake_parked()
 
-        self.mail.append(Mail(arrive))
+        self.in_transit.append(Delivery(arrive))
 
-    def suspect(self, name: str, kind: str) -> None:
+    def fail_probe(self, name: str, kind: str) -> None:
         """Have a probe of the primary fail, truly or not."""
         primary = self.owners[name].view.primary
         if primary:
@@ -248,13 +248,13 @@
     def post(self, name: str, message: object) -> None:
         """Give an owner a message and do what it says."""
         if name in self.paused and not isinstance(message, messages.Tick):
-            mail = Mail(self._poster(name, message), arrived=True)
-            self.mail.append(mail)
+            mail = Delivery(self._poster(name, message), arrived=True)
+            self.in_transit.append(mail)
             return
         state = self.owners[name]
         for out in owner.step(state, self.now, message):
             self._perform(name, out)
-        for upstream, count in state.in_work.items():
+        for upstream, count in state.in_flight.items():
             if not 0 <= count <= SLOTS:
                 raise oracles.Violation(f'{count} in work at {upstream}')
         waiting = state.primary_queue.count + state.replica_queue.count
@@ -267,26 +267,28 @@
                 self._execute(name, out)
             case messages.Answer():
                 self.oracle.answered(self.now, name, out)
-            case messages.AskStatus():
-                mail = Mail(lambda: self._ask(name, out))
+            case messages.RequestStatus():
+                mail = Delivery(lambda: self._ask(name, out))
                 mail.lost = self._loser(name, out.upstream)
-                self.mail.append(mail)
+                self.in_transit.append(mail)
             case messages.Fence() | messages.Lead():
                 claimant = f'{name}{self.incarnations[name]}'
-                self.mail.append(
-                    Mail(lambda: self._promote(name, claimant, out))
+                self.in_transit.append(
+                    Delivery(lambda: self._promote(name, claimant, out))
                 )
             case messages.CloseTransaction():
                 key = (name, self.incarnations[name], out.transaction)
                 self.opened.pop(key, None)
-            case messages.TellSuspicion():
+            case messages.SendSuspicion():
                 for peer in OWNERS:
                     if peer != name:
-                        word = messages.PeerSuspects(
+                        word = messages.PeerSuspicion(
                             name, out.term, out.suspects
                         )
-                        self.mail.append(Mail(self._poster(peer, word)))
-            case messages.NeedGrants():
+                        self.in_transit.append(
+                            Delivery(self._poster(peer, word))
+                        )
+            case messages.RequestGrants():
                 self._grant(name, out.above_term)
 
     def _poster(self, name: str, message: object):
@@ -306,11 +308,13 @@
         if self.store == 'down':
             return
         claimant = f'{name}{self.incarnations[name]}'
-        self.record = grants.allot(self.record, claimant, above, 3, 'x')
+        self.record = grants.grant_terms(self.record, claimant, above, 3, 'x')
         if self.store == 'lossy' and self.rng.random() < 0.5:
             return
         terms = grants.terms_of(self.record, claimant)
-        self.mail.append(Mail(self._poster(name, messages.GrantsSeen(terms))))
+        self.in_transit.append(
+            Delivery(self._poster(name, messages.GrantsReceived(terms)))
+        )
 
     def _execute(self, name: str, out: messages.Execute) -> None:
         key = (name, out.key, out.attempt)
@@ -336,20 +340,20 @@
                 self.closed.add(transaction)
             elif out.kind is Kind.BEGIN:
                 self.opened.pop(transaction, None)
-            finish(messages.Lost(Reason.CONNECTION_LOST, True))
+            finish(messages.ConnectionLost(Reason.CONNECTION_LOST, True))
 
         def arrive() -> None:
             if out.kind is Kind.BEGIN and key not in self.running:
                 return
             result = self._run(name, incarnation, out)
-            self.mail.append(Mail(lambda: finish(result), lost))
+            self.in_transit.append(Delivery(lambda: finish(result), lost))
 
-        self.mail.append(Mail(arrive, lost))
+        self.in_transit.append(Delivery(arrive, lost))
 
     def _status(self, name: str) -> messages.Status:
         log = self.logs[name]
         silent_ms = self.now - self.heard[name]
-        if self.silence_lie:
+        if self.reports_false_silence:
             silent_ms = 10_000
         return messages.Status(
             name,
@@ -366,7 +370,7 @@
         log = self.logs[out.upstream]
         request = out.request
         if out.at_replica:
-            if logs.last_place(log) < out.wait_place:
+            if logs.last_place(log) < out.wait_position:
                 return messages.Refused(Reason.REPLICA_BEHIND)
         elif not log.leads or log.accepted_term != out.term:
             return messages.Refused(
@@ -426,30 +430,30 @@
             log.leads,
         )
 
-    def _ask(self, name: str, out: messages.AskStatus) -> None:
+    def _ask(self, name: str, out: messages.RequestStatus) -> None:
         reply = self._replier(name, out)
         if self._held(out):
             reply()
         else:
             self.parked.append((self.now + out.wait_ms, out, reply))
 
-    def _replier(self, name: str, out: messages.AskStatus):
+    def _replier(self, name: str, out: messages.RequestStatus):
         sent_ms = self.now
         incarnation = self.incarnations[name]
 
         def reply() -> None:
             if self.incarnations[name] != incarnation:
                 return
-            seen = messages.StatusSeen(
+            seen = messages.StatusReceived(
                 self._status(out.upstream), out.round_id, sent_ms
             )
-            mail = Mail(self._poster(name, seen))
+            mail = Delivery(self._poster(name, seen))
             mail.lost = self._loser(name, out.upstream)
-            self.mail.append(mail)
+            self.in_transit.append(mail)
 
         return reply
 
-    def _held(self, out: messages.AskStatus) -> bool:
+    def _held(self, out: messages.RequestStatus) -> bool:
         log = self.logs[out.upstream]
         last = logs.last_place(log)
         return (
@@ -475,31 +479,33 @@
             accepted = logs.lead(log, out.term, claimant)
             make = messages.LeadReply
             if accepted:
-                self.oracle.note_lead(out.term, out.upstream)
+                self.oracle.record_leader(out.term, out.upstream)
         reply = make(out.term, accepted, self._status(out.upstream))
-        self.mail.append(Mail(self._poster(name, reply)))
+        self.in_transit.append(Delivery(self._poster(name, reply)))
         self._wake_parked()
 
-    def calm(self, rounds: int) -> None:
+    def run_without_faults(self, rounds: int) -> None:
         """Let everything work as it should for a while."""
         for _ in range(rounds):
-            for _ in range(len(self.mail)):
+            for _ in range(len(self.in_transit)):
                 self.deliver(0)
             for source in UPSTREAMS:
                 for target in UPSTREAMS:
                     self.replicate(source, target)
             self.advance(25)
 
-    def settle_down(self) -> None:
+    def heal_and_check(self) -> None:
         """Heal everything; then every request has to have its answer."""
-        self.silence_lie = False
+        self.reports_false_silence = False
         self.store = 'up'
         for name in list(self.paused):
             self.pause(name)
         for name in OWNERS:
-            self.post(name, messages.OwnersSeen(OWNERS))
-        self.calm(400)
-        unanswered = [a for a in self.oracle.asked.values() if not a.answered]
+            self.post(name, messages.OwnersChanged(OWNERS))
+        self.run_without_faults(400)
+        unanswered = [
+            a for a in self.oracle.submissions.values() if not a.answered
+        ]
         if unanswered:
             raise oracles.Violation(f'never answered: {unanswered}')
         for key in self.opened.keys() - self.closed:
--- a/topazring/core/tests/test_forwarding.py
+++ b/topazring/core/tests/test_forwarding.py
@@ -14,15 +14,15 @@
 Reason = outcomes.Reason
 OWNERS = ('a', 'b')
 DONE = outcomes.Done([], log_positions.LogPosition(1, 1))
-SENT = messages.Lost(Reason.OWNER_LOST, True)
-UNSENT = messages.Lost(Reason.OWNER_LOST, False)
+SENT = messages.ConnectionLost(Reason.OWNER_LOST, True)
+UNSENT = messages.ConnectionLost(Reason.OWNER_LOST, False)
 CANNOT = outcomes.NotRun(Reason.NO_PRIMARY, 100)
 CANCELLED = outcomes.NotRun(Reason.CANCELLED, 50)
 
 
 def run(kind, answers, repeatable=False, bound='', repeat=False):
     """Play answers in order; return the steps and the final outcome."""
-    plan = forwarding.begin(kind, repeatable, 10_000, bound, repeat)
+    plan = forwarding.make_plan(kind, repeatable, 10_000, bound, repeat)
     steps = []
     now_ms = 0
     answers = iter(answers)
@@ -38,7 +38,7 @@
         if answer is None:
             now_ms = 10_000
         else:
-            forwarding.note(plan, step.owner, answer)
+            forwarding.record_result(plan, step.owner, answer)
 
 
 class TestForwarding(testtools.TestCase):
--- a/topazring/core/tests/test_members.py
+++ b/topazring/core/tests/test_members.py
@@ -17,36 +17,36 @@
 
     def test_stale_list(self):
         state = members.Members()
-        members.take_list(state, [member('p1'), member('p2')])
-        self.assertTrue(members.take_leaving(state, 'p2', 'p2-1'))
-        members.take_list(state, [member('p1'), member('p2')])
+        members.apply_list(state, [member('p1'), member('p2')])
+        self.assertTrue(members.record_departure(state, 'p2', 'p2-1'))
+        members.apply_list(state, [member('p1'), member('p2')])
         self.assertEqual(['p1'], list(state.listed))
-        members.take_list(state, [member('p1'), member('p2', '2')])
+        members.apply_list(state, [member('p1'), member('p2', '2')])
         self.assertEqual({'p1', 'p2'}, set(state.listed))
 
     def test_replaced_incarnation_stays_gone(self):
         state = members.Members()
-        members.take_list(state, [member('p1')])
-        members.take_list(state, [member('p1', '2')])
-        members.take_list(state, [member('p1')])
+        members.apply_list(state, [member('p1')])
+        members.apply_list(state, [member('p1', '2')])
+        members.apply_list(state, [member('p1')])
         self.assertEqual({}, state.listed)
 
     def test_word_of_leaving_is_news_once(self):
         state = members.Members()
-        self.assertTrue(members.take_leaving(state, 'p1', 'p1-1'))
-        self.assertFalse(members.take_leaving(state, 'p1', 'p1-1'))
+        self.assertTrue(members.record_departure(state, 'p1', 'p1-1'))
+        self.assertFalse(members.record_departure(state, 'p1', 'p1-1'))
 
     def test_failed_peer_is_passed_over_for_a_while(self):
         state = members.Members()
-        members.saw_failure(state, 'p1', 1000)
-        self.assertFalse(members.reachable(state, 'p1', 1500))
-        later = 1000 + members.FAILED_MS + 1
-        self.assertTrue(members.reachable(state, 'p1', later))
+        members.record_failure(state, 'p1', 1000)
+        self.assertFalse(members.is_reachable(state, 'p1', 1500))
+        later = 1000 + members.FAILURE_BACKOFF_MS + 1
+        self.assertTrue(members.is_reachable(state, 'p1', later))
 
     def test_leaving_proxies_own_nothing(self):
         state = members.Members()
         listed = [member('p1'), member('p2', leaving=True)]
-        members.take_list(state, listed)
+        members.apply_list(state, listed)
         names = [c.name for c in members.candidates_of(state)]
         self.assertEqual(['p1'], names)
 
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -41,8 +41,8 @@
         )
         self.now_ms = 1000
         self.outs = []
-        self.step(messages.OwnersSeen(('p3', 'p2')))
-        self.step(messages.GrantsSeen((4,)))
+        self.step(messages.OwnersChanged(('p3', 'p2')))
+        self.step(messages.GrantsReceived((4,)))
         self.see_all(0)
 
     def step(self, message):
@@ -51,7 +51,7 @@
     def see(self, name, term, leads=False, silent_ms=0):
         place = log_positions.LogPosition(term, 0)
         status = messages.Status(name, term, leads, place, silent_ms)
-        self.step(messages.StatusSeen(status, sent_ms=self.now_ms))
+        self.step(messages.StatusReceived(status, sent_ms=self.now_ms))
 
     def see_all(self, term):
         for name in UPSTREAMS:
@@ -64,7 +64,7 @@
 
     def suspect(self):
         """Let the group be without a primary until this owner says so."""
-        while self.state.suspected_ms is None:
+        while self.state.suspected_since_ms is None:
             self.see_all(0)
             self.pass_ms(TICK_MS)
 
@@ -75,14 +75,16 @@
         self.suspect()
         self.outs.clear()
         self.pass_ms(300)
-        asked = [o for o in self.sent(messages.AskStatus) if not o.round_id]
+        asked = [
+            o for o in self.sent(messages.RequestStatus) if not o.round_id
+        ]
         for name in UPSTREAMS:
             times = sum(1 for ask in asked if ask.upstream == name)
             self.assertGreaterEqual(times, 3, name)
 
     def test_peer_that_is_ahead_is_left_to_it(self):
         self.suspect()
-        self.step(messages.PeerSuspects('p2', 2, True))
+        self.step(messages.PeerSuspicion('p2', 2, True))
         self.see_all(0)
         self.pass_ms(60)
         self.assertEqual([], self.sent(messages.Fence))
@@ -93,8 +95,8 @@
 
     def test_peer_that_is_ahead_and_gone_is_not_waited_for(self):
         self.suspect()
-        self.step(messages.PeerSuspects('p2', 2, True))
-        for _ in range(failover.PEER_AHEAD_MS // 50 + 2):
+        self.step(messages.PeerSuspicion('p2', 2, True))
+        for _ in range(failover.PEER_PROMOTION_WAIT_MS // 50 + 2):
             self.see_all(0)
             self.pass_ms(50)
         fences = self.sent(messages.Fence)
@@ -102,11 +104,11 @@
 
     def test_peers_are_told_of_an_attempt(self):
         self.suspect()
-        self.step(messages.PeerSuspects('p2', 0, True))
+        self.step(messages.PeerSuspicion('p2', 0, True))
         self.pass_ms(TICK_MS)
         self.assertNotEqual([], self.sent(messages.Fence))
-        told = self.sent(messages.TellSuspicion)
-        self.assertIn(messages.TellSuspicion(4, True), told)
+        told = self.sent(messages.SendSuspicion)
+        self.assertIn(messages.SendSuspicion(4, True), told)
 
 
 class TestSilenceOfATerm(testtools.TestCase):
@@ -123,7 +125,7 @@
             place = log_positions.LogPosition(term, 0)
             silent = 0 if leads else silent_ms
             status = messages.Status(name, term, leads, place, silent)
-            views.observe(self.view, now_ms, status)
+            views.apply_status(self.view, now_ms, status)
 
     def judge(self, now_ms):
         return suspicion.judge(suspicion.Evidence(), self.view, now_ms)[0]
@@ -134,6 +136,6 @@
 
     def test_primary_that_never_reached_its_replicas(self):
         self.see_all(2, 1050, silent_ms=853)
-        later = 1050 + suspicion.CUT_OFF_SILENCE_MS
+        later = 1050 + suspicion.ISOLATED_PRIMARY_SILENCE_MS
         self.see_all(2, later, silent_ms=later - 200)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge(later))
--- a/topazring/core/tests/test_windows.py
+++ b/topazring/core/tests/test_windows.py
@@ -26,8 +26,8 @@
         """Send what is admitted; return how many were."""
         sent = 0
         for _ in range(tries):
-            if windows.admits(self.window, organisation):
-                windows.enter(self.window, organisation)
+            if windows.has_capacity(self.window, organisation):
+                windows.acquire(self.window, organisation)
                 sent += 1
         return sent
 
@@ -54,14 +54,14 @@
         self.fill('flood', 3000)
         self.fill('ordinary', 10)
         for _ in range(60):
-            windows.leave(self.window, 'flood', 5)
+            windows.release(self.window, 'flood', 5)
         self.assertEqual(50, self.window.total)
         self.assertEqual(50, self.fill('flood', 3000))
-        self.assertTrue(windows.admits(self.window, 'ordinary'))
+        self.assertTrue(windows.has_capacity(self.window, 'ordinary'))
 
     def test_nothing_is_left_behind(self):
         for organisation in ('flood', 'ordinary'):
             for _ in range(self.fill(organisation, 500)):
-                windows.leave(self.window, organisation, 5)
+                windows.release(self.window, organisation, 5)
         self.assertEqual(0, self.window.total)
-        self.assertEqual({}, dict(self.window.under_way))
+        self.assertEqual({}, dict(self.window.in_flight))
--- a/topazring/core/tokens.py
+++ b/topazring/core/tokens.py
@@ -9,7 +9,7 @@
 
 from topazring.core import log_positions
 
-__all__ = ['Session', 'TokenError', 'read_token', 'write_token']
+__all__ = ['Session', 'TokenError', 'verify_token', 'sign_token']
 
 MAC_BYTES = 16
 
@@ -31,13 +31,13 @@
     """Say why a token is refused."""
 
 
-def write_token(session: Session, key: bytes) -> str:
+def sign_token(session: Session, key: bytes) -> str:
     """Return a signed token that any proxy can check without state."""
     body = msgspec.msgpack.encode(session)
     return base64.urlsafe_b64encode(_mac(body, key) + body).decode()
 
 
-def read_token(
+def verify_token(
     token: str, keys: list[bytes], organisation: str, database: str
 ) -> Session:
     """Check a token; raise TokenError if it is forged or foreign.
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -12,11 +12,11 @@
     'add_sample',
     'make_view',
     'majority',
-    'observe',
-    'staleness_place',
+    'apply_status',
+    'staleness_position',
 ]
 
-SAMPLES_KEPT = 512
+MAX_SAMPLES = 512
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,7 +34,7 @@
     # How long this replica takes to reach a place, as a moving average.
     lag_ms: float = 0.0
     # The sample whose arrival at this replica is measured next.
-    awaited: log_positions.Sample | None = None
+    lag_sample: log_positions.Sample | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,7 +46,7 @@
     primary: str = ''
     committed: log_positions.LogPosition = log_positions.ORIGIN
     samples: collections.deque[log_positions.Sample] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=SAMPLES_KEPT)
+        default_factory=lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
     # When the primary was last found or lost.
     changed_ms: int | None = None
@@ -62,7 +62,9 @@
     return log_positions.majority_of(len(view.upstreams))
 
 
-def observe(view: GroupView, now_ms: int, status: messages.Status) -> bool:
+def apply_status(
+    view: GroupView, now_ms: int, status: messages.Status
+) -> bool:
     """Take in a status; say whether the term or the primary changed."""
     seen = view.upstreams.get(status.upstream)
     if seen is None or status.accepted_term < seen.accepted_term:
@@ -105,11 +107,11 @@
 
 
 def _measure_lag(seen: UpstreamView, now_ms: int) -> None:
-    if seen.awaited is None or seen.place < seen.awaited.place:
+    if seen.lag_sample is None or seen.place < seen.lag_sample.place:
         return
-    measured = now_ms - seen.awaited.sent_ms
+    measured = now_ms - seen.lag_sample.sent_ms
     seen.lag_ms += (measured - seen.lag_ms) * 0.3
-    seen.awaited = None
+    seen.lag_sample = None
 
 
 def add_sample(view: GroupView, sample: log_positions.Sample) -> None:
@@ -122,11 +124,11 @@
         return
     view.samples.append(sample)
     for seen in view.upstreams.values():
-        if seen.awaited is None and seen.name != view.primary:
-            seen.awaited = sample
+        if seen.lag_sample is None and seen.name != view.primary:
+            seen.lag_sample = sample
 
 
-def staleness_place(
+def staleness_position(
     view: GroupView, now_ms: int, max_staleness_ms: int
 ) -> log_positions.LogPosition | None:
     """Return the place that a read of that age has to reach.
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -115,7 +115,7 @@
             await self._wait_for_news(after, wait_ms)
         seen = self.known.seen
         age_ms = max(0, clock.suspended_ms() - self.confirmed_ms)
-        complete, changes = revisions.lacking(self.known, after)
+        complete, changes = revisions.missing_changes(self.known, after)
         return peers.Told(seen, complete, changes, self.follows, age_ms)
 
     async def _wait_for_news(self, after: int, wait_ms: int) -> None:
@@ -308,7 +308,7 @@
 
     def _take_all(self, changes: list[revisions.Change], upto: int) -> None:
         """Take in everything there is; what is not there has ended."""
-        ended = revisions.note_gap(self.known, upto, changes)
+        ended = revisions.record_compaction(self.known, upto, changes)
         self._take([*ended, *changes], upto)
 
     def _take(self, changes: list[revisions.Change], upto: int) -> None:
--- a/topazring/pooler/hearing.py
+++ b/topazring/pooler/hearing.py
@@ -46,7 +46,7 @@
         self.in_force_ms = in_force_ms
         # How long a question waits for a change.
         self.wait_ms = in_force_ms // PARTS
-        self.hearing = followers.Hearing()
+        self.hearing = followers.FollowerBackoff()
         # Whom this proxy hears; empty while it asks the service itself.
         self.source = ''
 
@@ -65,7 +65,9 @@
         names = addresses.keys() | {self.name}
         while True:
             now_ms = clock.suspended_ms()
-            source = followers.choose(self.hearing, now_ms, self.name, names)
+            source = followers.choose_follower(
+                self.hearing, now_ms, self.name, names
+            )
             if not source:
                 self._change_source('')
                 return None
@@ -85,7 +87,7 @@
         until that is noticed.
         """
         names = self._addresses(proxies).keys() | {self.name}
-        heard = followers.has_hearers(names)
+        heard = followers.uses_followers(names)
         return self.wait_ms if heard else self.in_force_ms
 
     def _addresses(
@@ -107,7 +109,7 @@
         return told.follows and told.age_ms <= self.wait_ms + AGE_SLACK_MS
 
     def _pass_over(self, source: str, told: peers.Told | None) -> None:
-        followers.saw_failure(self.hearing, clock.suspended_ms(), source)
+        followers.record_failure(self.hearing, clock.suspended_ms(), source)
         inputs = {'follower': source, 'answered': told is not None}
         if told is not None:
             inputs |= {'follows': told.follows, 'age_ms': told.age_ms}
--- a/topazring/proxy/control_link.py
+++ b/topazring/proxy/control_link.py
@@ -86,7 +86,9 @@
         ask_id = self.next_id
         self.next_id += 1
         match message:
-            case messages.AskStatus(term=term, place=place, wait_ms=wait_ms):
+            case messages.RequestStatus(
+                term=term, place=place, wait_ms=wait_ms
+            ):
                 return wire.ControlAsk(
                     ask_id,
                     's',
@@ -139,7 +141,9 @@
         self.socket = socket
         self.proven = False
         now_ms = clock.monotonic_ms()
-        probe = messages.AskStatus(self.name, 0, 0, log_positions.ORIGIN, 0)
+        probe = messages.RequestStatus(
+            self.name, 0, 0, log_positions.ORIGIN, 0
+        )
         self.send(probe, now_ms)
         self.post(messages.LinkOpened(self.name))
 
@@ -163,9 +167,9 @@
         self.failures = 0
         status = wire.status_of(self.name, reply)
         match pending.message:
-            case messages.AskStatus(round_id=round_id):
+            case messages.RequestStatus(round_id=round_id):
                 self.post(
-                    messages.StatusSeen(status, round_id, pending.sent_ms)
+                    messages.StatusReceived(status, round_id, pending.sent_ms)
                 )
             case messages.Fence(term=term):
                 self.post(messages.FenceReply(term, reply.accepted, status))
--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -114,7 +114,7 @@
             self.in_flight -= 1
 
     async def _run(self, job: Job) -> tuple[outcomes.Outcome, Bound | None]:
-        plan = forwarding.begin(
+        plan = forwarding.make_plan(
             job.kind,
             job.profile.repeatable,
             job.deadline_ms,
@@ -131,19 +131,19 @@
                     await asyncio.sleep(ms / 1000)
                     continue
             window = self._window(step.owner, job)
-            if window and not windows.admits(window, job.organisation):
+            if window and not windows.has_capacity(window, job.organisation):
                 if not plan.maybe_ran:
                     return self._refuse(window), None
                 # Its fate is open, so it waits for its turn to ask.
                 await asyncio.sleep(forwarding.PAUSE_MS / 1000)
                 continue
             result = await self._send_counted(job, step, window)
-            if isinstance(result, messages.Lost):
+            if isinstance(result, messages.ConnectionLost):
                 self._note_lost(step.owner, now_ms, result)
-                forwarding.note(plan, step.owner, result)
+                forwarding.record_result(plan, step.owner, result)
                 continue
             outcome, transaction = result
-            forwarding.note(plan, step.owner, outcome)
+            forwarding.record_result(plan, step.owner, outcome)
             if transaction:
                 return outcome, Bound(step.owner, transaction)
 
@@ -152,7 +152,9 @@
         owners = self.ownership.owners_of(job.database)
         now_ms = clock.monotonic_ms()
         members = self.knowledge.members
-        near = [n for n in owners if membership.reachable(members, n, now_ms)]
+        near = [
+            n for n in owners if membership.is_reachable(members, n, now_ms)
+        ]
         return (*near, *(n for n in owners if n not in near))
 
     def _window(self, owner: str, job: Job) -> windows.Window | None:
@@ -173,7 +175,7 @@
     def _refuse(self, window: windows.Window) -> outcomes.NotRun:
         key = f'{Reason.OVERLOAD}_not_sent'
         self.retries[key] = self.retries.get(key, 0) + 1
-        after_ms = max(forwarding.PAUSE_MS, int(window.answer_ms))
+        after_ms = max(forwarding.PAUSE_MS, int(window.mean_answer_ms))
         return outcomes.NotRun(Reason.OVERLOAD, after_ms)
 
     async def _send_counted(
@@ -181,32 +183,34 @@
         job: Job,
         step: forwarding.Send,
         window: windows.Window | None,
-    ) -> tuple[outcomes.Outcome, int] | messages.Lost:
+    ) -> tuple[outcomes.Outcome, int] | messages.ConnectionLost:
         if window is None:
             return await self._send(job, step)
         sent_ms = clock.monotonic_ms()
-        windows.enter(window, job.organisation)
+        windows.acquire(window, job.organisation)
         try:
             return await self._send(job, step)
         finally:
             took_ms = clock.monotonic_ms() - sent_ms
-            windows.leave(window, job.organisation, took_ms)
+            windows.release(window, job.organisation, took_ms)
 
-    def _note_lost(self, owner: str, now_ms: int, lost: messages.Lost) -> None:
-        membership.saw_failure(self.knowledge.members, owner, now_ms)
+    def _note_lost(
+        self, owner: str, now_ms: int, lost: messages.ConnectionLost
+    ) -> None:
+        membership.record_failure(self.knowledge.members, owner, now_ms)
         key = f'{lost.reason}_{"sent" if lost.sent else "not_sent"}'
         self.retries[key] = self.retries.get(key, 0) + 1
 
     async def _send(
         self, job: Job, step: forwarding.Send
-    ) -> tuple[outcomes.Outcome, int] | messages.Lost:
+    ) -> tuple[outcomes.Outcome, int] | messages.ConnectionLost:
         kind = Kind.SETTLE if step.settle else job.kind
         transaction = job.bound.transaction if job.bound else 0
         if step.owner == self.name:
             return await self._submit_here(job, step, kind, transaction)
         client = self._client(step.owner)
         if client is None:
-            return messages.Lost(Reason.OWNER_LOST, False)
+            return messages.ConnectionLost(Reason.OWNER_LOST, False)
         self.hops += 1
         place = (job.token_place.log_term, job.token_place.position)
 
--- a/topazring/proxy/hop.py
+++ b/topazring/proxy/hop.py
@@ -211,10 +211,10 @@
 
     async def call(
         self, make_frame: collections.abc.Callable[[int], HopRequest]
-    ) -> tuple[outcomes.Outcome, int] | messages.Lost:
+    ) -> tuple[outcomes.Outcome, int] | messages.ConnectionLost:
         """Send a request; return its outcome and transaction, or a loss."""
         if self.stream is None and not await self._connect():
-            return messages.Lost(outcomes.Reason.OWNER_LOST, False)
+            return messages.ConnectionLost(outcomes.Reason.OWNER_LOST, False)
         frame_id = self.next_id
         self.next_id += 1
         answered = asyncio.get_running_loop().create_future()
@@ -224,7 +224,7 @@
         if not _write_frame(self.stream, make_frame(frame_id)):
             self.waiting.pop(frame_id, None)
             self._lose()
-            return messages.Lost(outcomes.Reason.OWNER_LOST, True)
+            return messages.ConnectionLost(outcomes.Reason.OWNER_LOST, True)
         return await answered
 
     def withdraw(self, database: str, transaction: int) -> None:
@@ -279,7 +279,9 @@
         self.waiting.clear()
         for future in waiting:
             if not future.done():
-                lost = messages.Lost(outcomes.Reason.OWNER_LOST, True)
+                lost = messages.ConnectionLost(
+                    outcomes.Reason.OWNER_LOST, True
+                )
                 future.set_result(lost)
 
     def tick(self, now_ms: int) -> None:
--- a/topazring/proxy/knowledge.py
+++ b/topazring/proxy/knowledge.py
@@ -215,7 +215,7 @@
                     message.changes,
                 )
             case gossips.Suspicion():
-                membership.saw_answer(self.members, message.name)
+                membership.record_answer(self.members, message.name)
                 self.suspected(message)
             case gossips.Leaving():
                 self._peer_leaves(message)
@@ -240,7 +240,7 @@
             self.gossip.send(digest.address, own)
 
     def _peer_leaves(self, message: gossips.Leaving) -> None:
-        news = membership.take_leaving(
+        news = membership.record_departure(
             self.members, message.name, message.incarnation
         )
         if not news:
@@ -307,7 +307,7 @@
                 self.listed[change.key] = _member(raw)
             elif raw.get('state') == 'leaving':
                 leaving.add(change.key)
-        membership.take_list(self.members, self.listed.values())
+        membership.apply_list(self.members, self.listed.values())
         self.leaving_upstreams = frozenset(leaving)
 
 
--- a/topazring/proxy/owner_task.py
+++ b/topazring/proxy/owner_task.py
@@ -170,26 +170,26 @@
             case messages.Answer():
                 self._note_refusal(out.outcome)
                 self.answers.pop(out.key)(out.key, out.outcome)
-            case messages.AskStatus() | messages.Fence() | messages.Lead():
+            case messages.RequestStatus() | messages.Fence() | messages.Lead():
                 self.links[out.upstream].send(out, now_ms)
             case messages.CloseTransaction():
                 for pool in self.pools.values():
                     pool.close_transaction(out.transaction)
-            case messages.TellSuspicion():
+            case messages.SendSuspicion():
                 self.peers.tell_suspicion(
                     self.database.name,
                     self.state.owners,
                     out.term,
                     out.suspects,
                 )
-            case messages.NeedGrants():
+            case messages.RequestGrants():
                 self._spawn(self._take_grants(out.above_term))
-            case messages.PrimaryChosen():
+            case messages.RecordPrimary():
                 self._spawn(self._record_primary(out.term, out.primary))
-            case messages.Explained():
+            case messages.RecordDecision():
                 self._explain(out)
 
-    def _explain(self, out: messages.Explained) -> None:
+    def _explain(self, out: messages.RecordDecision) -> None:
         logger.info('%s: %s (%s)', self.database.name, out.what, out.why)
         self.explanations.append(
             Explanation(clock.wall_ms(), self.name, out.what, out.why)
@@ -214,7 +214,7 @@
             f'{primary} leads term {state.view.term}; {waiting} wait, '
             f'{len(state.work)} in hand, {state.service_ms:.1f} ms a statement'
         )
-        self._explain(messages.Explained(counts, why))
+        self._explain(messages.RecordDecision(counts, why))
 
     async def _tick_forever(self) -> None:
         expected = clock.monotonic_ms()
@@ -241,7 +241,7 @@
         if found is None:
             return
         record, revision = found
-        wanted = grants.allot(
+        wanted = grants.grant_terms(
             record,
             self.incarnation,
             above_term,
@@ -257,7 +257,7 @@
             )
             if not isinstance(written, key_value.Written):
                 return
-        self.post(messages.GrantsSeen(terms))
+        self.post(messages.GrantsReceived(terms))
 
     async def _record_primary(self, term: int, primary: str) -> None:
         """Bring the record up to date, however long the service is down."""
@@ -266,7 +266,7 @@
             found = await self._read_record()
             if found is not None:
                 record, revision = found
-                wanted = grants.choose_primary(
+                wanted = grants.record_primary(
                     record, term, primary, uuid.uuid4().hex
                 )
                 if wanted is None:
--- a/topazring/proxy/ownership.py
+++ b/topazring/proxy/ownership.py
@@ -106,7 +106,7 @@
         owner = self.owners.get(name)
         if owner is None:
             return
-        owner.post(messages.OwnersSeen(owners))
+        owner.post(messages.OwnersChanged(owners))
         leaving = self.knowledge.leaving_upstreams
         owner.post(messages.UpstreamsLeaving(leaving))
         idle_ms = clock.monotonic_ms() - self.used_ms[name]
@@ -185,7 +185,7 @@
         owner = self.owners.get(message.database)
         if owner is not None:
             owner.post(
-                messages.PeerSuspects(
+                messages.PeerSuspicion(
                     message.name, message.term, message.suspects
                 )
             )
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -221,7 +221,7 @@
     ) -> outcomes.Rejected | None:
         """Have the session see at least what the token has seen."""
         try:
-            told = tokens.read_token(
+            told = tokens.verify_token(
                 token,
                 self.front.knowledge.catalogue.verifying_keys(),
                 session.organisation,
@@ -237,7 +237,7 @@
         key = self.front.knowledge.catalogue.signing_key()
         if key is None:
             return ''
-        return tokens.write_token(
+        return tokens.sign_token(
             tokens.Session(
                 session.organisation,
                 session.database,
--- a/topazring/proxy/sql_pool.py
+++ b/topazring/proxy/sql_pool.py
@@ -90,8 +90,8 @@
             [(s.sql, s.parameters) for s in request.statements],
             request.request_id,
             execute.at_replica,
-            execute.wait_place.log_term,
-            execute.wait_place.position,
+            execute.wait_position.log_term,
+            execute.wait_position.position,
             execute.wait_ms,
         )
         self.sent = True
@@ -142,7 +142,9 @@
         self.pool.forget(self)
         if self.execute is not None:
             execute, self.execute = self.execute, None
-            self.pool.finish(execute, messages.Lost(reason, self.sent))
+            self.pool.finish(
+                execute, messages.ConnectionLost(reason, self.sent)
+            )
 
     def tick(self, now_ms: int) -> None:
         """Ask for a sign of life; close when none comes."""
@@ -195,7 +197,7 @@
     def run(self, execute: messages.Execute) -> None:
         """Run a statement; its result is posted exactly once."""
         if self.closed:
-            lost = messages.Lost(Reason.DRAINING, False)
+            lost = messages.ConnectionLost(Reason.DRAINING, False)
             self.finish(execute, lost)
             return
         if execute.kind in (Kind.EXECUTE, Kind.COMMIT, Kind.ROLLBACK):
@@ -212,7 +214,7 @@
     def _run_in_transaction(self, execute: messages.Execute) -> None:
         connection = self.transactions.get(execute.request.transaction)
         if connection is None:
-            lost = messages.Lost(Reason.TRANSACTION_LOST, False)
+            lost = messages.ConnectionLost(Reason.TRANSACTION_LOST, False)
             self.finish(execute, lost)
             return
         connection.run(execute)
--- a/topazring/proxy/tests/test_control_link.py
+++ b/topazring/proxy/tests/test_control_link.py
@@ -23,7 +23,9 @@
             link = control_link.ControlLink(
                 'u2', 'ws://u2', 'p1', posted.append
             )
-            ask = messages.AskStatus('u2', 1, 2, log_positions.ORIGIN, 1000)
+            ask = messages.RequestStatus(
+                'u2', 1, 2, log_positions.ORIGIN, 1000
+            )
             link.send(ask, 0)
             await link.opening
 
--- a/topazring/tests/rivals.py
+++ b/topazring/tests/rivals.py
@@ -65,7 +65,7 @@
         record = grants.parse(found.value)
         # Above all that the owners hold, so that some of its terms win.
         above = max(term for term, _ in record.grants)
-        wanted = grants.allot(record, CLAIMANT, record.term, 2, 'rival')
+        wanted = grants.grant_terms(record, CLAIMANT, record.term, 2, 'rival')
         higher = grants.GroupRecord(
             wanted.term,
             wanted.primary,
