--- a/topazring/core/__init__.py
+++ b/topazring/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decide without input or output: values in, values out."""
+"""Decision logic of the proxy, as functions without I/O."""
--- a/topazring/core/admission.py
+++ b/topazring/core/admission.py
@@ -19,21 +19,25 @@
 
 @dataclasses.dataclass(slots=True)
 class FairQueue:
-    """Hold the waiting requests of one database.
+    """Waiting requests of one database, with a queue per organisation.
 
-    Organisations take turns, so one that floods lengthens only its own
-    line. When the queue is full, the longest line gives up its last.
+    Organisations are served round-robin, so one that floods lengthens only
+    its own queue. When the limit is exceeded, the request with the latest
+    deadline is evicted from the longest queue.
     """
 
     limit: int
+    # For each organisation, a heap of (deadline_ms, key).
     heaps: dict[str, list[tuple[int, int]]] = dataclasses.field(
         default_factory=dict
     )
+    # Organisations with waiting requests, in round-robin order.
     turns: collections.deque[str] = dataclasses.field(
         default_factory=collections.deque
     )
     count: int = 0
-    # How far apart an organisation's turns came while it had a line.
+    # Moving average of the time between an organisation's turns, measured
+    # while it has waiting requests.
     turn_interval_ms: dict[str, float] = dataclasses.field(
         default_factory=dict
     )
@@ -41,63 +45,65 @@
 
 
 def size(queue: FairQueue) -> int:
-    """Return how many requests wait."""
+    """Return the number of waiting requests."""
     return queue.count
 
 
 def push(
     queue: FairQueue, organisation: str, deadline_ms: int, key: int
 ) -> int | None:
-    """Add a request; return the one that has to leave for it, if any."""
-    line = queue.heaps.get(organisation)
-    if line is None:
-        line = queue.heaps[organisation] = []
+    """Add a request; return the key of the evicted request, if any."""
+    heap = queue.heaps.get(organisation)
+    if heap is None:
+        heap = queue.heaps[organisation] = []
         queue.turns.append(organisation)
-    heapq.heappush(line, (deadline_ms, key))
+    heapq.heappush(heap, (deadline_ms, key))
     queue.count += 1
     if queue.count <= queue.limit:
         return None
     longest = max(queue.heaps, key=lambda name: len(queue.heaps[name]))
     last = max(queue.heaps[longest])
-    _take(queue, longest, last)
+    _discard(queue, longest, last)
     return last[1]
 
 
 def pop(queue: FairQueue, now_ms: int) -> int | None:
-    """Take the most urgent request of the organisation whose turn it is."""
+    """Remove and return the next organisation's most urgent request."""
     if not queue.turns:
         return None
     organisation = queue.turns[0]
     queue.turns.rotate(-1)
-    _note_turn(queue, organisation, now_ms)
+    _record_turn(queue, organisation, now_ms)
     _, key = heapq.heappop(queue.heaps[organisation])
     queue.count -= 1
     _drop_empty(queue, organisation)
     return key
 
 
-def _note_turn(queue: FairQueue, organisation: str, now_ms: int) -> None:
+def _record_turn(queue: FairQueue, organisation: str, now_ms: int) -> None:
     last_ms = queue.last_turn_ms.get(organisation)
     queue.last_turn_ms[organisation] = now_ms
     if last_ms is None:
         return
-    known = queue.turn_interval_ms.get(organisation, float(now_ms - last_ms))
-    known += (now_ms - last_ms - known) * TURN_INTERVAL_WEIGHT
-    queue.turn_interval_ms[organisation] = known
+    mean_ms = queue.turn_interval_ms.get(organisation, float(now_ms - last_ms))
+    mean_ms += (now_ms - last_ms - mean_ms) * TURN_INTERVAL_WEIGHT
+    queue.turn_interval_ms[organisation] = mean_ms
 
 
 def remove(queue: FairQueue, organisation: str, key: int) -> None:
-    """Take out a request that no longer waits."""
+    """Remove a request that no longer waits."""
     for item in queue.heaps.get(organisation, ()):
         if item[1] == key:
-            _take(queue, organisation, item)
+            _discard(queue, organisation, item)
             return
 
 
-def _take(queue: FairQueue, organisation: str, item: tuple[int, int]) -> None:
-    line = queue.heaps[organisation]
-    line.remove(item)
-    heapq.heapify(line)
+def _discard(
+    queue: FairQueue, organisation: str, item: tuple[int, int]
+) -> None:
+    heap = queue.heaps[organisation]
+    heap.remove(item)
+    heapq.heapify(heap)
     queue.count -= 1
     _drop_empty(queue, organisation)
 
@@ -111,12 +117,13 @@
 
 
 def count_ahead(queue: FairQueue, organisation: str) -> int:
-    """Return how many requests go before a new one of an organisation.
+    """Return how many requests are served before a new one.
 
-    Of another's long line only as many as there are turns until its own.
+    From another organisation's longer queue only as many requests count as
+    there are turns until the new request's own.
     """
     turns = len(queue.heaps.get(organisation, ())) + 1
-    return sum(min(len(line), turns) for line in queue.heaps.values())
+    return sum(min(len(heap), turns) for heap in queue.heaps.values())
 
 
 def estimate_wait_ms(
@@ -125,11 +132,12 @@
     """Estimate how long a new request of this organisation would wait.
 
     Each turn serves one request of every waiting organisation, so a short
-    line moves at the pace of the turns, whatever the longest line holds. A
-    long line waits for requests too that are yet to come: those of others
-    have their turns before it. How far apart its own turns came says so.
+    queue is served turn by turn, however long the longest queue is. A long
+    queue also waits for requests that have yet to arrive, because those of
+    other organisations are served in between. The measured time between its
+    turns accounts for these.
     """
     own = len(queue.heaps.get(organisation, ()))
-    by_lines = count_ahead(queue, organisation) * service_ms / max(1, slots)
+    by_queues = count_ahead(queue, organisation) * service_ms / max(1, slots)
     by_turns = own * queue.turn_interval_ms.get(organisation, 0.0)
-    return max(by_lines, by_turns)
+    return max(by_queues, by_turns)
--- a/topazring/core/arrival.py
+++ b/topazring/core/arrival.py
@@ -1,4 +1,4 @@
-"""Admit a request or refuse it at once."""
+"""Admission of new requests."""
 
 from topazring.core import admission
 from topazring.core import completion
@@ -20,12 +20,13 @@
 Reason = outcomes.Reason
 Kind = requests.Kind
 
-# A wait is taken to be that much longer than estimated: who is admitted
-# and then too late has waited for nothing.
+# Factor on the estimated wait: a request that is admitted and then misses its
+# deadline has waited in vain.
 WAIT_SAFETY_FACTOR = 1.25
-# Time that has to be left, as a multiple of what is usually needed.
+# Time that has to be left, as a multiple of the time usually needed.
 DEADLINE_SAFETY_FACTOR = 1.5
-# Replicas whose lag is so many times a statement's time are the cause.
+# If the replica lag is this many times the service time of a statement, it is
+# reported as the cause of a missed deadline.
 HIGH_LAG_FACTOR = 10
 
 
@@ -43,7 +44,7 @@
         return []
     if request.kind in completion.IN_TRANSACTION:
         return _submit_in_transaction(state, work)
-    refusal = _refusal_on_arrival(state, now_ms, request)
+    refusal = _check_on_arrival(state, now_ms, request)
     if refusal is not None:
         after_ms = refusal.retry_after_ms
         return completion.give_up(state, work, refusal.reason, after_ms)
@@ -59,7 +60,7 @@
         return []
     if transaction is None and request.kind is Kind.COMMIT:
         # It may be a second copy of a commit that took effect; only the
-        # record knows.
+        # request record shows that.
         work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
@@ -70,15 +71,18 @@
     return completion.finish(state, work, lost)
 
 
-def _refusal_on_arrival(
+def _check_on_arrival(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> outcomes.NotRun | None:
-    """Refuse what cannot make its deadline while it has cost nothing yet."""
+    """Return a refusal if the request is expected to miss its deadline.
+
+    Refusing on arrival is cheapest: nothing was spent on the request yet.
+    """
     left_ms = request.deadline_ms - now_ms
-    primary_needed = (
+    needs_primary = (
         completion.queue_for(state, request, False) is state.primary_queue
     )
-    if primary_needed and expiry.is_primary_unreachable(state, now_ms):
+    if needs_primary and expiry.is_primary_unreachable(state, now_ms):
         return completion.make_refusal(
             Reason.NO_PRIMARY, expiry.UNREACHABLE_MS
         )
@@ -95,8 +99,8 @@
     if wait_ms > left_ms:
         return completion.make_refusal(Reason.OVERLOAD, wait_ms - left_ms)
     if request.kind is Kind.BEGIN:
-        most = state.limits.connections - state.limits.slots - 1
-        if len(state.transactions) >= max(1, most):
+        max_transactions = state.limits.connections - state.limits.slots - 1
+        if len(state.transactions) >= max(1, max_transactions):
             return completion.make_refusal(Reason.CONNECTION_LIMIT, 0)
     return None
 
@@ -104,10 +108,10 @@
 def check_deadline(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> Reason | None:
-    """Say why a request would end in doubt if it began now, if it would.
+    """Return why a request begun now would end in doubt, or None.
 
-    It would take a slot from one that can make it, and another to find out
-    what became of it.
+    Such a request would take a slot from one that can meet its deadline, and
+    another slot to resolve its outcome.
     """
     needed = _needed_ms(state, now_ms, request.kind)
     if request.deadline_ms - now_ms >= needed:
@@ -119,7 +123,7 @@
 
 
 def _needed_ms(state: states.OwnerState, now_ms: int, kind: Kind) -> float:
-    """Return the time that a request should have left when it begins."""
+    """Return the time that a request should have left when it starts."""
     needed = state.service_ms
     if kind is Kind.WRITE:
         needed += majority_lag_ms(state, now_ms)
@@ -127,22 +131,22 @@
 
 
 def usual_lag_ms(state: states.OwnerState) -> float:
-    """Return how long a majority usually takes to hold a new place."""
+    """Return how long a majority usually takes to reach a new log position."""
     lags = {name: u.lag_ms for name, u in state.view.upstreams.items()}
-    return _lag_of_majority(state, lags)
+    return _majority_of_lags(state, lags)
 
 
 def majority_lag_ms(state: states.OwnerState, now_ms: int) -> float:
-    """Return the same, or what it takes just now if that is longer."""
+    """Return the usual lag of a majority, or the current one if longer."""
     lags = {}
     for name, seen in state.view.upstreams.items():
         lags[name] = seen.lag_ms
         if seen.lag_sample is not None:
             lags[name] = max(seen.lag_ms, now_ms - seen.lag_sample.sent_ms)
-    return _lag_of_majority(state, lags)
+    return _majority_of_lags(state, lags)
 
 
-def _lag_of_majority(
+def _majority_of_lags(
     state: states.OwnerState, lags: dict[str, float]
 ) -> float:
     primary = state.view.primary
--- a/topazring/core/completion.py
+++ b/topazring/core/completion.py
@@ -1,4 +1,4 @@
-"""Queue a request, find out its fate, give its one final answer."""
+"""Queue requests, resolve those in doubt and send the final answers."""
 
 from topazring.core import admission
 from topazring.core import messages
@@ -30,14 +30,14 @@
 
 
 def make_refusal(reason: Reason, after_ms: float) -> outcomes.NotRun:
-    """Return a refusal that says when to come back."""
+    """Return a refusal that says when the caller may retry."""
     return outcomes.NotRun(reason, max(MIN_RETRY_AFTER_MS, int(after_ms)))
 
 
 def queue_for(
     state: states.OwnerState, request: requests.Request, primary_only: bool
 ) -> admission.FairQueue:
-    """Return the queue for what only the primary, or a replica, serves."""
+    """Return the queue of the primary or of the replicas for a request."""
     may_be_stale = request.profile.max_staleness_ms > 0
     if request.kind is Kind.READ and may_be_stale and not primary_only:
         return state.replica_queue
@@ -45,7 +45,7 @@
 
 
 def enqueue(state: states.OwnerState, now_ms: int, work: states.Work) -> Out:
-    """Have a request wait; answer the one that has to make room."""
+    """Queue a request; answer the request that it evicts, if any."""
     request = work.request
     work.phase = states.Phase.QUEUED
     if work.is_resolving or request.kind in IN_TRANSACTION:
@@ -67,10 +67,10 @@
     work: states.Work,
     reason: Reason,
 ) -> Out:
-    """Find out what became of a request that may or may not have run.
+    """Queue a request that may or may not have run, to resolve its outcome.
 
-    A repeatable write is sent again under its own id: the record answers
-    for the first copy if that took effect. Any other write is settled: the
+    A repeatable write is sent again under its own id: if the first copy took
+    effect, the request record returns its result. For any other write the
     record is read, or written as cancelled so that no late copy can run.
     """
     work.result = None
@@ -78,8 +78,8 @@
     if work.request.kind is Kind.READ:
         return requeue(state, now_ms, work, reason, False)
     repeatable = work.request.profile.repeatable
-    again = repeatable and work.request.kind is Kind.WRITE
-    if not again and not work.is_resolving:
+    can_resend = repeatable and work.request.kind is Kind.WRITE
+    if not can_resend and not work.is_resolving:
         work.is_resolving = True
         state.counters['settle'] += 1
     return requeue(state, now_ms, work, reason, False)
@@ -92,12 +92,12 @@
     reason: Reason,
     charged: bool,
 ) -> Out:
-    """Have a request wait again, if deadline and budget allow."""
+    """Queue a request again if its deadline and the retry budget allow."""
     work.last_reason = reason
     if now_ms >= work.request.deadline_ms:
         return give_up(state, work, reason, 0)
-    open_fate = work.maybe_ran and work.request.kind in requests.RECORDED_KINDS
-    if charged and not open_fate and not retries.spend(state.budget):
+    in_doubt = work.maybe_ran and work.request.kind in requests.RECORDED_KINDS
+    if charged and not in_doubt and not retries.spend(state.budget):
         return give_up(state, work, Reason.RETRY_BUDGET, 100)
     state.counters[f'retry_{reason}'] += 1
     return enqueue(state, now_ms, work)
@@ -109,7 +109,7 @@
     reason: Reason,
     after_ms: float,
 ) -> Out:
-    """Answer a request that is given up, truly: not run, or unknown."""
+    """Answer a failed request: unknown if it may have run, else not run."""
     if work.maybe_ran:
         return finish(state, work, outcomes.Unknown(reason))
     return finish(state, work, make_refusal(reason, after_ms))
@@ -118,18 +118,18 @@
 def finish(
     state: states.OwnerState, work: states.Work, outcome: outcomes.Outcome
 ) -> Out:
-    """Give the one final answer."""
+    """Remove a request and return its only, final answer."""
     request = work.request
     del state.work[request.key]
     rounds.remove_waiter(state.round_state, request.key)
     if work.phase is states.Phase.QUEUED:
-        _leave_queues(state, work)
+        _remove_from_queues(state, work)
     if not isinstance(outcome, outcomes.Done):
         state.counters[f'refused_{outcome.reason}'] += 1
     return [messages.Answer(request.key, outcome)]
 
 
-def _leave_queues(state: states.OwnerState, work: states.Work) -> None:
+def _remove_from_queues(state: states.OwnerState, work: states.Work) -> None:
     request = work.request
     if request.key in state.urgent:
         state.urgent.remove(request.key)
@@ -138,6 +138,6 @@
 
 
 def fail_lost_transaction(state: states.OwnerState, work: states.Work) -> Out:
-    """Answer a statement whose transaction is gone."""
+    """Answer a statement whose transaction no longer exists."""
     lost = outcomes.NotRun(Reason.TRANSACTION_LOST, MIN_RETRY_AFTER_MS)
     return finish(state, work, lost)
--- a/topazring/core/dispatch.py
+++ b/topazring/core/dispatch.py
@@ -1,4 +1,4 @@
-"""Give waiting requests to upstreams that have room for them."""
+"""Send waiting requests to upstreams that have free slots."""
 
 from topazring.core import admission
 from topazring.core import arrival
@@ -16,16 +16,16 @@
 Out = list
 Kind = requests.Kind
 
-# A read waits that long for a busy replica before it takes the primary.
+# A read waits this long for a busy replica before it goes to the primary.
 MAX_REPLICA_QUEUE_MS = 50
-# So long, or so many times the usual lag, a confirmation may take before
-# nothing more is given to the primary.
+# If a confirmation takes longer than this time and this multiple of the usual
+# replica lag, nothing more is sent to the primary.
 STALL_MS = 100
 STALL_LAGS = 3
 
 
 def dispatch(state: states.OwnerState, now_ms: int) -> Out:
-    """Give waiting requests to upstreams that have room for them."""
+    """Send waiting requests to upstreams that have free slots."""
     free = states.free_slots(state, now_ms)
     outs: Out = []
     for key in list(state.urgent):
@@ -59,8 +59,8 @@
     state: states.OwnerState, now_ms: int, free: dict[str, int]
 ) -> Out:
     primary = state.view.primary
-    held = state.handing_over_since_ms is not None
-    if not primary or held or _stalled(state, now_ms):
+    is_handing_over = state.handing_over_since_ms is not None
+    if not primary or is_handing_over or _is_stalled(state, now_ms):
         return []
     outs: Out = []
     while free[primary] > 0:
@@ -87,7 +87,7 @@
             for name, count in free.items()
             if name != state.view.primary
         )
-        if not any_free and not _overflows(state, free):
+        if not any_free and not _should_use_primary(state, free):
             break
         key = admission.pop(state.replica_queue, now_ms)
         work = state.work[key]
@@ -96,7 +96,7 @@
         )
         if route is None:
             work.primary_only = True
-            outs += _to_primary(state, now_ms, work, free)
+            outs += _send_or_queue_for_primary(state, now_ms, work, free)
             continue
         outs.append(
             _send(
@@ -112,12 +112,12 @@
     return outs
 
 
-def _stalled(state: states.OwnerState, now_ms: int) -> bool:
-    """Say whether confirmations have stopped coming.
+def _is_stalled(state: states.OwnerState, now_ms: int) -> bool:
+    """Return whether confirmations have stopped arriving.
 
-    The symptom without this: a primary that is cut off from its replicas
-    takes in writes for as long as it takes to replace it, and each of them
-    is cancelled afterwards. Held back here they run at the next primary.
+    Without this check a primary that is partitioned from its replicas
+    accepts writes until it is replaced, and each of them is cancelled
+    afterwards. Writes that wait here run at the next primary instead.
     """
     waiting = state.round_state.waiters.values()
     oldest_ms = min((w.sent_ms for w in waiting if w.key > 0), default=now_ms)
@@ -125,24 +125,26 @@
     return now_ms - oldest_ms > allowed_ms
 
 
-def _overflows(state: states.OwnerState, free: dict[str, int]) -> bool:
-    """Say whether the primary should help out with the replicas' queue."""
+def _should_use_primary(
+    state: states.OwnerState, free: dict[str, int]
+) -> bool:
+    """Return whether the primary should serve reads queued for replicas."""
     waiting = admission.size(state.replica_queue)
     slots = state.limits.slots * max(1, len(free) - 1)
     spare = free.get(state.view.primary, 0) > 1
     return spare and waiting * state.service_ms / slots > MAX_REPLICA_QUEUE_MS
 
 
-def _to_primary(
+def _send_or_queue_for_primary(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
     free: dict[str, int],
 ) -> Out:
     primary = state.view.primary
-    held = state.handing_over_since_ms is not None
-    idle = not held and not admission.size(state.primary_queue)
-    if primary and idle and free[primary] > 0:
+    is_handing_over = state.handing_over_since_ms is not None
+    is_idle = not is_handing_over and not admission.size(state.primary_queue)
+    if primary and is_idle and free[primary] > 0:
         term = state.view.term
         return [_send(state, now_ms, work, primary, term, free)]
     return completion.enqueue(state, now_ms, work)
@@ -176,6 +178,6 @@
         work.at_replica,
         route.place if route else log_positions.ORIGIN,
         route.wait_ms if route else 0,
-        # A read that a replica leaves unanswered still has time elsewhere.
+        # Leave time to retry elsewhere a read that a replica does not answer.
         max(1, left_ms // 2) if route else left_ms,
     )
--- a/topazring/core/expiry.py
+++ b/topazring/core/expiry.py
@@ -1,4 +1,4 @@
-"""End what is past its time or can be served only elsewhere."""
+"""Expiry of requests and transactions, and early failure of requests."""
 
 from topazring.core import completion
 from topazring.core import messages
@@ -17,28 +17,29 @@
 Out = list
 Reason = outcomes.Reason
 
-# So long the primary may be unreachable from here before work goes back.
+# How long the primary may be unreachable from here before requests that need
+# it are failed, so that they are retried at another owner.
 UNREACHABLE_MS = 400
 
 
 def is_primary_unreachable(state: states.OwnerState, now_ms: int) -> bool:
-    """Say whether this owner has long failed to reach a live primary."""
+    """Return whether a live primary has been unreachable for long."""
     since_ms = state.unreachable_since_ms
     return since_ms is not None and now_ms - since_ms >= UNREACHABLE_MS
 
 
 def fail_primary_requests(state: states.OwnerState, now_ms: int) -> Out:
-    """Give back what needs a primary that only others can reach.
+    """Fail waiting requests for a primary that only other owners can reach.
 
-    The symptom without it: requests wait here to their deadlines while
-    another owner could have served them at once.
+    Without this, requests wait here until their deadlines although another
+    owner could serve them at once.
     """
     outs: Out = []
     for work in list(state.work.values()):
-        waits = work.phase is states.Phase.QUEUED
+        is_waiting = work.phase is states.Phase.QUEUED
         queue = completion.queue_for(state, work.request, work.primary_only)
-        urgent = work.request.key in state.urgent
-        if waits and (urgent or queue is state.primary_queue):
+        is_urgent = work.request.key in state.urgent
+        if is_waiting and (is_urgent or queue is state.primary_queue):
             outs += completion.give_up(
                 state, work, Reason.NO_PRIMARY, UNREACHABLE_MS
             )
@@ -46,7 +47,7 @@
 
 
 def expire(state: states.OwnerState, now_ms: int) -> Out:
-    """Answer what is past its deadline; end what holds on too long."""
+    """Answer expired requests and end expired transactions."""
     outs: Out = []
     for work in list(state.work.values()):
         if now_ms >= work.request.deadline_ms:
@@ -60,10 +61,10 @@
 def abandon(
     state: states.OwnerState, now_ms: int, message: messages.Abandon
 ) -> Out:
-    """Answer all that is in hand as far as it is known here.
+    """Answer all pending requests with what is known here.
 
-    The entry finds out the rest from another owner, or from this database's
-    next task: without an answer it would wait to the end of time.
+    The entry resolves those in doubt through another owner or the next task
+    of this database. Without an answer it would wait forever.
     """
     outs: Out = []
     for work in list(state.work.values()):
@@ -97,7 +98,7 @@
 def withdraw(
     state: states.OwnerState, now_ms: int, message: messages.Withdraw
 ) -> Out:
-    """Roll back a transaction whose caller is gone."""
+    """Roll back a transaction whose session ended."""
     transaction = state.transactions.pop(message.transaction, None)
     if transaction is None:
         return []
--- a/topazring/core/followers.py
+++ b/topazring/core/followers.py
@@ -1,12 +1,13 @@
-"""Choose who follows the platform's service, and whom the others hear.
-
-If each proxy watched the service for itself, each change would be answered
-once a proxy and each forgotten history read once a proxy: at 2,000 proxies
-thousands of calls for one change. So a few proxies of each data centre follow
-it, and the others hear from one of those what changed. Nobody agrees on
-followers: they are the first in rendezvous order of whoever is listed. Two
-views cost some calls more, never a change: who is heard says itself whether
-it follows, and who finds nobody to hear asks the service.
+"""Choose the proxies that follow the platform's service for the others.
+
+If every proxy watched the service, it would send each change to every proxy,
+and every proxy would read all values again after a compaction: at 2,000
+proxies thousands of calls for one change. Therefore a few proxies of each
+data centre follow the service, and the others receive changes from one of
+them. The followers need no agreement: they are the first of the listed
+proxies in rendezvous order. Differing lists cost additional calls but lose no
+change, because a proxy reports itself whether it follows, and a proxy that
+finds no follower asks the service.
 """
 
 import collections.abc
@@ -22,33 +23,33 @@
     'record_failure',
 ]
 
-# One that is lost leaves another one; more only cost calls.
+# Two, so that one remains if one is lost; more only cost calls.
 FOLLOWERS = 2
-# A data centre with one proxy more would spare one watch, and pay for it
-# with a step on the way of each change.
+# With a single non-follower, a data centre would save one watch at the price
+# of an additional hop for each change.
 MIN_NON_FOLLOWERS = 2
-# A follower that did not answer, or does not follow, is left alone for so
-# long: a frozen proxy wakes within seconds, and each try of a dead one delays
-# what may have changed meanwhile.
+# How long a follower that did not answer, or does not follow, is avoided. A
+# paused proxy resumes within seconds, and each attempt at a dead one delays
+# the receipt of changes.
 AVOID_MS = 3000
 
 
 @dataclasses.dataclass(slots=True)
 class FollowerBackoff:
-    """Hold whom a proxy does not want to hear, and until when."""
+    """Followers that a proxy avoids, and until when."""
 
     avoid_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 def uses_followers(names: collections.abc.Collection[str]) -> bool:
-    """Say whether some of a data centre's proxies hear others."""
+    """Return whether a data centre has enough proxies to use followers."""
     return len(names) >= FOLLOWERS + MIN_NON_FOLLOWERS
 
 
 def followers_of(
     names: collections.abc.Collection[str],
 ) -> tuple[str, ...]:
-    """Return who of a data centre's proxies follow the service.
+    """Return the proxies of a data centre that follow the service.
 
     >>> followers_of([f'p{number}' for number in range(3)])
     ('p0', 'p1', 'p2')
@@ -61,27 +62,27 @@
 
 
 def choose_follower(
-    hearing: FollowerBackoff,
+    backoff: FollowerBackoff,
     now_ms: int,
     name: str,
     names: collections.abc.Collection[str],
 ) -> str:
-    """Return which follower a proxy hears next; empty for the service.
+    """Return the follower to receive changes from; empty for the service.
 
-    `names` are the proxies of its data centre, itself among them. Each has
-    its own order of the followers, so that they share the hearers.
+    `names` are the proxies of its data centre, including itself. Each proxy
+    has its own order of the followers, which balances their load.
     """
     followers = followers_of(names)
     if name in followers:
         return ''
     for follower in hashing.first_by_score(name, followers, FOLLOWERS):
-        if now_ms >= hearing.avoid_until_ms.get(follower, 0):
+        if now_ms >= backoff.avoid_until_ms.get(follower, 0):
             return follower
     return ''
 
 
 def record_failure(
-    hearing: FollowerBackoff, now_ms: int, follower: str
+    backoff: FollowerBackoff, now_ms: int, follower: str
 ) -> None:
-    """Leave a follower alone for a while that could not be heard."""
-    hearing.avoid_until_ms[follower] = now_ms + AVOID_MS
+    """Avoid a follower for a while after a failure."""
+    backoff.avoid_until_ms[follower] = now_ms + AVOID_MS
--- a/topazring/core/forwarding.py
+++ b/topazring/core/forwarding.py
@@ -1,4 +1,4 @@
-"""Decide at the entry which owner gets a request, and what after a loss."""
+"""Decide at the entry which owner gets a request, and how to retry it."""
 
 import dataclasses
 
@@ -20,9 +20,9 @@
 Reason = outcomes.Reason
 
 PAUSE_MS = 50
-# The hop back needs a little of the caller's time.
+# Time reserved for the hop back to the caller.
 RETURN_MARGIN_MS = 20
-# These say that the owner cannot, not that the request is at fault.
+# Reasons that concern the owner and not the request.
 OWNER_UNAVAILABLE = frozenset(
     {Reason.NO_PRIMARY, Reason.DRAINING, Reason.NO_CONFIGURATION}
 )
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """Hold how far a request has come at the entry."""
+    """State of a request at the entry."""
 
     kind: Kind
     repeatable: bool
     deadline_ms: int
-    # The only owner that holds the transaction's connection.
+    # The owner that holds the connection of the transaction, if any.
     bound_to: str = ''
     tried: list[str] = dataclasses.field(default_factory=list)
     is_resolving: bool = False
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to an owner, as a settle if its fate is open."""
+    """Send the request to an owner, as a settle request if in doubt."""
 
     owner: str
     settle: bool
@@ -57,14 +57,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Wait before the next round over the owners."""
+    """Wait before trying all owners again."""
 
     ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller the final answer."""
+    """Send the caller the final answer."""
 
     outcome: outcomes.Outcome
 
@@ -76,10 +76,10 @@
     bound_to: str = '',
     repeat: bool = False,
 ) -> Plan:
-    """Return the plan of a request that was just taken in.
+    """Return the plan of a new request.
 
-    A `repeat` may have run as an earlier copy, and so may a commit whose
-    transaction is no longer open here.
+    An earlier copy of a `repeat` may have run, and so may that of a commit
+    whose transaction is no longer open here.
     """
     plan = Plan(kind, repeatable, deadline_ms, bound_to)
     plan.is_resolving = kind is Kind.COMMIT and not bound_to
@@ -102,7 +102,7 @@
         if owner not in plan.tried:
             return Send(owner, plan.is_resolving, left_ms - RETURN_MARGIN_MS)
     if plan.maybe_ran and owners:
-        # Its fate is open: keep asking whoever is there until it is known.
+        # It is in doubt: keep asking the live owners until it is resolved.
         plan.tried.clear()
         return Pause(min(PAUSE_MS, left_ms))
     return Finish(_give_up(plan, plan.reason))
@@ -119,34 +119,34 @@
 def record_result(
     plan: Plan, owner: str, result: outcomes.Outcome | messages.ConnectionLost
 ) -> None:
-    """Take in what an owner answered, or that it was lost."""
+    """Record an owner's answer, or the loss of its connection."""
     plan.tried.append(owner)
     if isinstance(result, messages.ConnectionLost):
-        _note_lost(plan, result)
+        _record_lost(plan, result)
         return
-    bound = plan.kind in IN_TRANSACTION and not plan.is_resolving
+    is_bound = plan.kind in IN_TRANSACTION and not plan.is_resolving
     match result:
         case outcomes.NotRun(reason=reason) if reason in OWNER_UNAVAILABLE:
-            if not bound:
+            if not is_bound:
                 plan.last = result
                 plan.reason = reason
                 return
         case outcomes.Unknown(reason=reason) if reason in OWNER_UNAVAILABLE:
-            # Another owner may still reach the primary and find out.
-            _note_lost(plan, messages.ConnectionLost(reason, True))
+            # Another owner may still reach the primary and resolve it.
+            _record_lost(plan, messages.ConnectionLost(reason, True))
             return
         case outcomes.NotRun(reason=reason) if plan.maybe_ran:
             if not plan.is_resolving and reason is not Reason.CANCELLED:
-                # It speaks of this copy; the one before may have run.
+                # This copy did not run, but an earlier one may have.
                 result = outcomes.Unknown(reason)
     plan.final = result
 
 
-def _note_lost(plan: Plan, lost: messages.ConnectionLost) -> None:
+def _record_lost(plan: Plan, lost: messages.ConnectionLost) -> None:
     plan.reason = lost.reason
     if plan.kind in (Kind.EXECUTE, Kind.ROLLBACK):
-        # The owner closes a transaction's connection with its entry's link,
-        # and the upstream rolls back what it held.
+        # The owner closes a transaction's connection when the link to the
+        # entry closes, and the upstream rolls the transaction back.
         plan.final = outcomes.NotRun(Reason.TRANSACTION_LOST, 50)
         return
     if not lost.sent:
@@ -156,6 +156,6 @@
     if plan.kind is Kind.BEGIN:
         return
     plan.maybe_ran = True
-    again = plan.repeatable and plan.kind is Kind.WRITE
-    if plan.kind in requests.RECORDED_KINDS and not again:
+    can_resend = plan.repeatable and plan.kind is Kind.WRITE
+    if plan.kind in requests.RECORDED_KINDS and not can_resend:
         plan.is_resolving = True
--- a/topazring/core/grants.py
+++ b/topazring/core/grants.py
@@ -1,8 +1,8 @@
-"""Hand out terms to owners ahead of need.
+"""Grant terms to owners in advance.
 
-One record a database says who may use which term. A grant is for good, so
-a promotion needs no call to the platform's service when it happens, and a
-holder that was paused does no harm: its term is simply too low by then.
+One record per database stores which owner may use which term. Grants do not
+expire, so a promotion needs no call to the platform's service, and an owner
+that was paused does no harm: its term is too low by then.
 """
 
 import collections.abc
@@ -11,29 +11,29 @@
 
 __all__ = ['GroupRecord', 'grant_terms', 'record_primary', 'parse', 'terms_of']
 
-# Terms to an owner at a time: a second and third failure within one outage
-# of the service still find a usable term.
+# Terms granted to an owner at a time, so that a second and third failure
+# during one outage of the service still find a usable term.
 TERMS_PER_OWNER = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupRecord:
-    """Hold who leads a database group and who may use which term."""
+    """Record of a group's primary and of the owners' granted terms."""
 
     term: int = 0
     primary: str = ''
     grants: tuple[tuple[int, str], ...] = ()
-    # Names the change, so that its author can tell it took effect when the
-    # answer was lost.
+    # Identifies the last change, so that its author can detect whether it
+    # took effect if the answer was lost.
     change_id: str = ''
 
     def dump(self) -> str:
-        """Return the record as the platform's service keeps it."""
+        """Return the record as stored by the platform's service."""
         return json.dumps(dataclasses.asdict(self))
 
 
 def parse(text: str) -> GroupRecord:
-    """Read a record."""
+    """Parse a stored record."""
     raw = json.loads(text)
     grants = tuple((int(term), str(owner)) for term, owner in raw['grants'])
     return GroupRecord(raw['term'], raw['primary'], grants, raw['change_id'])
@@ -51,7 +51,7 @@
     owners: int,
     change_id: str,
 ) -> GroupRecord:
-    """Grant an owner a block of terms, leaving gaps for the others.
+    """Grant an owner a block of terms, leaving terms free for other owners.
 
     >>> record = grant_terms(GroupRecord(), 'a', 0, 2, 'x')
     >>> terms_of(record, 'a')
@@ -86,7 +86,7 @@
 def record_primary(
     record: GroupRecord, term: int, primary: str, change_id: str
 ) -> GroupRecord | None:
-    """Record a promotion; None if a later one is recorded already."""
+    """Record a promotion; return None if a later one is recorded already."""
     if record.term >= term:
         return None
     grants = tuple(grant for grant in record.grants if grant[0] > term)
--- a/topazring/core/groups.py
+++ b/topazring/core/groups.py
@@ -1,8 +1,9 @@
-"""Choose how a group of upstreams keeps its promises.
+"""Registry of the kinds of upstream groups.
 
-A group's kind decides when a write is safe, how a read proves that its
-primary still leads, and who replaces a lost primary. Everything else stands
-on `step`, which takes a message and returns what is to be done about it.
+The kind of a group decides when a write is durable, how a read proves that
+its primary still leads, and which upstream replaces a lost primary. The rest
+of the proxy only calls the kind's `step`, which takes a message and returns
+the actions to perform.
 """
 
 import collections.abc
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupKind:
-    """Name a kind of group and the step that drives its state."""
+    """Kind of group, with the step function that drives its state."""
 
     name: str
     step: Step
@@ -25,7 +26,7 @@
 
 
 def register_step(name: str) -> collections.abc.Callable[[Step], Step]:
-    """Register the step of one kind of group."""
+    """Return a decorator that registers the step of a kind of group."""
 
     def register(step: Step) -> Step:
         _kinds[name] = GroupKind(name, step)
@@ -35,7 +36,7 @@
 
 
 def group_kind(name: str) -> GroupKind:
-    """Return a registered kind; KeyError if there is none of that name."""
+    """Return a registered kind; raise KeyError if the name is unknown."""
     return _kinds[name]
 
 
--- a/topazring/core/hashing.py
+++ b/topazring/core/hashing.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """Name a proxy that could own databases."""
+    """Proxy that can own databases."""
 
     name: str
     region: str
@@ -19,8 +19,9 @@
 def score(database: str, name: str) -> int:
     """Return the weight of a proxy for a database; the highest wins.
 
-    Every proxy computes the same weights, so owners follow from the list of
-    members without any message. When one leaves, only its databases move.
+    Every proxy computes the same weights, so the owners follow from the list
+    of members without any communication. When a proxy leaves, only its own
+    databases move.
     Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous"
     (1996).
     """
@@ -37,31 +38,31 @@
 ) -> tuple[str, ...]:
     """Return the owners in preference order, spread over data centres.
 
-    Proxies of the database's own region come first. A data centre is used
-    once more only when each other one that has proxies left is used as often.
+    Proxies of the database's own region are preferred. A data centre is used
+    again only after every other one with remaining proxies is used as often.
     """
-    everyone = list(candidates)
-    local = [c for c in everyone if c.region == region]
-    pool = local or everyone
+    all_candidates = list(candidates)
+    local = [c for c in all_candidates if c.region == region]
+    pool = local or all_candidates
     pool.sort(key=lambda c: score(database, c.name), reverse=True)
     chosen: list[Candidate] = []
     while pool and len(chosen) < count:
-        left: list[Candidate] = []
+        remaining: list[Candidate] = []
         centres: set[str] = set()
         for candidate in pool:
             if candidate.data_centre in centres:
-                left.append(candidate)
+                remaining.append(candidate)
             elif len(chosen) < count:
                 chosen.append(candidate)
                 centres.add(candidate.data_centre)
-        pool = left
+        pool = remaining
     return tuple(candidate.name for candidate in chosen)
 
 
 def first_by_score(
     subject: str, names: collections.abc.Iterable[str], count: int
 ) -> tuple[str, ...]:
-    """Return the first names in a subject's order, whatever order they come.
+    """Return the first names in a subject's order, regardless of input order.
 
     >>> first_by_score('s', ['b', 'a'], 1) == first_by_score('s', 'ab', 1)
     True
--- a/topazring/core/log_positions.py
+++ b/topazring/core/log_positions.py
@@ -1,4 +1,4 @@
-"""Name places in a replicated log."""
+"""Positions in a replicated log."""
 
 import dataclasses
 
@@ -7,10 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, order=True, slots=True)
 class LogPosition:
-    """Locate an entry by the term that wrote it, then by its position.
+    """Position of a log entry, ordered by its term, then by its index.
 
-    The term comes first: the tail of a replaced primary can be longer than
-    its successor's log and is behind it all the same.
+    The term is compared first: the log of a replaced primary can be longer
+    than its successor's and is behind it all the same.
 
     >>> LogPosition(2, 5) > LogPosition(1, 900)
     True
@@ -20,7 +20,7 @@
     position: int
 
     def __str__(self) -> str:
-        """Return the place as people write it."""
+        """Return the position as `term.index`, for logs."""
         return f'{self.log_term}.{self.position}'
 
 
@@ -29,9 +29,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """Bind a place to a time.
+    """Log position of the primary at a point in time.
 
-    All that was acknowledged before `sent_ms` is at or before `place`.
+    All writes acknowledged before `sent_ms` are at or before `place`.
     """
 
     sent_ms: int
--- a/topazring/core/members.py
+++ b/topazring/core/members.py
@@ -1,4 +1,4 @@
-"""Join the platform's lagging list with what this proxy saw itself."""
+"""Combine the platform's lagging list of proxies with local observations."""
 
 import collections.abc
 import dataclasses
@@ -17,17 +17,17 @@
     'watchers_of',
 ]
 
-# A peer that failed is passed over for that long, then tried again.
+# How long a failed peer is skipped before it is tried again.
 FAILURE_BACKOFF_MS = 1500
-# Incarnations that left are remembered, so that a stale list cannot bring
-# them back. The list lags by seconds; this is far more.
+# Departed incarnations remembered, so that a stale list cannot bring them
+# back. The list lags by seconds; this many departures take far longer.
 MAX_DEPARTED = 4096
 WATCHERS_PER_REGION = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """Describe one proxy's process."""
+    """One process of a proxy."""
 
     name: str
     incarnation: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Members:
-    """Hold who is there, as far as this proxy can tell."""
+    """Members of the fleet, as far as this proxy can determine."""
 
     listed: dict[str, Member] = dataclasses.field(default_factory=dict)
     departed: dict[str, None] = dataclasses.field(default_factory=dict)
@@ -52,7 +52,7 @@
 def apply_list(
     members: Members, listed: collections.abc.Iterable[Member]
 ) -> None:
-    """Take in the platform's list; whom peers saw leave stays gone."""
+    """Apply the platform's list, without incarnations that have departed."""
     current = {}
     for member in listed:
         if member.incarnation not in members.departed:
@@ -63,48 +63,48 @@
             after.incarnation != member.incarnation
         )
         if replaced:
-            _mark_left(members, member.incarnation)
+            _mark_departed(members, member.incarnation)
     members.listed = current
 
 
 def record_departure(members: Members, name: str, incarnation: str) -> bool:
-    """Take a peer's word that it leaves; say whether it is news."""
+    """Record that a peer leaves; return whether that is new."""
     if incarnation in members.departed:
         return False
-    _mark_left(members, incarnation)
+    _mark_departed(members, incarnation)
     member = members.listed.get(name)
     if member is not None and member.incarnation == incarnation:
         del members.listed[name]
     return True
 
 
-def _mark_left(members: Members, incarnation: str) -> None:
+def _mark_departed(members: Members, incarnation: str) -> None:
     members.departed[incarnation] = None
     while len(members.departed) > MAX_DEPARTED:
         del members.departed[next(iter(members.departed))]
 
 
 def record_failure(members: Members, name: str, now_ms: int) -> None:
-    """Note that a peer could not be reached or went silent."""
+    """Record that a peer was unreachable or timed out."""
     members.failed_ms[name] = now_ms
 
 
 def record_answer(members: Members, name: str) -> None:
-    """Note that a peer answered."""
+    """Record that a peer answered."""
     members.failed_ms.pop(name, None)
 
 
 def is_reachable(members: Members, name: str, now_ms: int) -> bool:
-    """Say whether a peer is worth trying."""
+    """Return whether a peer should be tried."""
     failed_ms = members.failed_ms.get(name)
     return failed_ms is None or now_ms - failed_ms > FAILURE_BACKOFF_MS
 
 
 def candidates_of(members: Members) -> list[hashing.Candidate]:
-    """Return who could own databases, by the list alone.
+    """Return the proxies that can own databases, according to the list.
 
-    What this proxy cannot reach stays in: everyone has to come to much the
-    same owners, or each would hold connections of its own.
+    Proxies that are unreachable from here are included: all proxies have to
+    compute nearly the same owners, or each would hold its own connections.
     """
     return [
         hashing.Candidate(m.name, m.region, m.data_centre)
--- a/topazring/core/messages.py
+++ b/topazring/core/messages.py
@@ -1,4 +1,4 @@
-"""Type the messages that enter and leave an owner's core."""
+"""Messages that enter and leave the core of an owner."""
 
 import dataclasses
 import typing
@@ -42,13 +42,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """Report what an upstream says of itself."""
+    """Status that an upstream reports of itself."""
 
     upstream: str
     accepted_term: int
     leads: bool
     place: log_positions.LogPosition
-    # How long ago this replica last heard from its primary; 0 on a primary.
+    # Time since this replica last received from its primary; 0 on a primary.
     primary_silent_ms: int = 0
 
 
@@ -57,21 +57,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submit:
-    """Take in a request."""
+    """Submit a request."""
 
     request: requests.Request
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Report that the caller's session ended and its transaction with it."""
+    """Report that a session ended, and with it its transaction."""
 
     transaction: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """Report an execution with the place the upstream had after it."""
+    """Report an execution and the upstream's log position after it."""
 
     rows: list[list[typing.Any]]
     place: log_positions.LogPosition
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Report that the upstream certainly did not run the statement."""
+    """Report that the upstream did not run the statement."""
 
     reason: outcomes.Reason
     status: Status | None = None
@@ -91,14 +91,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SqlFailed:
-    """Report that the statement is at fault and left nothing behind."""
+    """Report that the statement is invalid and had no effect."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """Report a connection lost or silent; `sent` leaves the fate open."""
+    """Report a lost or silent connection; if `sent`, it may have run."""
 
     reason: outcomes.Reason
     sent: bool
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Executed:
-    """Report the one result of an Execute."""
+    """Report the only result of an Execute."""
 
     key: int
     attempt: int
@@ -128,17 +128,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkOpened:
-    """Report a new control connection: what was asked before it is lost."""
+    """Report a new control connection; earlier requests on it are lost."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeFailed:
-    """Report what a probe met: `refused`, `silent` or `silent_new`.
+    """Report how a probe failed: `refused`, `silent` or `silent_new`.
 
-    `silent` is silence on a connection that worked; `silent_new` on one
-    opened for the probe.
+    `silent` is a timeout on a connection that worked before, `silent_new`
+    one on a connection opened for the probe.
     """
 
     upstream: str
@@ -147,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSuspicion:
-    """Report what another owner thinks of the primary of a term."""
+    """Report whether another owner suspects the primary of a term."""
 
     owner: str
     term: int
@@ -163,21 +163,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantsReceived:
-    """Report the terms that are this owner's alone to use."""
+    """Report the terms that are granted to this owner only."""
 
     terms: tuple[int, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamsLeaving:
-    """Name the upstreams that the platform lists as leaving."""
+    """Report the upstreams that the platform lists as leaving."""
 
     names: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abandon:
-    """Answer all that is in hand: this owner task ends."""
+    """Answer all pending requests because this owner task ends."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Let time pass; `paused_ms` is how late the timer woke."""
+    """Report the passage of time; `paused_ms` is how late the timer fired."""
 
     paused_ms: int = 0
 
@@ -210,7 +210,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Execute:
-    """Have an upstream run a request; exactly one Executed follows."""
+    """Run a request at an upstream; exactly one Executed follows."""
 
     key: int
     attempt: int
@@ -219,7 +219,7 @@
     kind: requests.Kind
     request: requests.Request
     at_replica: bool = False
-    # A replica runs the read once it has reached this place.
+    # A replica runs the read once it has reached this log position.
     wait_position: log_positions.LogPosition = log_positions.ORIGIN
     wait_ms: int = 0
     timeout_ms: int = 0
@@ -227,7 +227,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Give the caller the one final answer."""
+    """Send the caller the only, final answer."""
 
     key: int
     outcome: outcomes.Outcome
@@ -235,10 +235,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestStatus:
-    """Ask for a status as soon as it answers the round.
+    """Request a status, to be sent as soon as it is conclusive.
 
-    That is when `place` is held under `term`, when a higher term was
-    accepted, or when `wait_ms` is over.
+    That is when the upstream holds `place` under `term`, when it accepted a
+    higher term, or when `wait_ms` has passed.
     """
 
     upstream: str
@@ -250,7 +250,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fence:
-    """Have an upstream accept a term and refuse lower ones."""
+    """Make an upstream accept a term and refuse lower ones."""
 
     upstream: str
     term: int
@@ -258,7 +258,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lead:
-    """Have an upstream that accepted the term lead it."""
+    """Make an upstream that accepted the term its primary."""
 
     upstream: str
     term: int
@@ -266,7 +266,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendSuspicion:
-    """Tell the other owners what this one thinks of the primary."""
+    """Send the other owners whether this one suspects the primary."""
 
     term: int
     suspects: bool
@@ -274,14 +274,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestGrants:
-    """Ask for terms above the highest that was seen."""
+    """Request grants of terms above the highest one seen."""
 
     above_term: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordPrimary:
-    """Ask for the platform's record to be brought up to date."""
+    """Update the platform's record of the primary."""
 
     term: int
     primary: str
@@ -289,14 +289,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CloseTransaction:
-    """Give up a transaction's connection without reusing it."""
+    """Close a transaction's connection instead of reusing it."""
 
     transaction: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordDecision:
-    """Tell the operators what was decided and on what grounds."""
+    """Record a decision and its reason for the operators."""
 
     what: str
     why: str
--- a/topazring/core/observations.py
+++ b/topazring/core/observations.py
@@ -1,4 +1,4 @@
-"""Take in what upstreams, peers and the platform say of a group."""
+"""Handle reports of upstreams, other owners and the platform on a group."""
 
 from topazring.core import completion
 from topazring.core import expiry
@@ -27,14 +27,14 @@
 def update_view(
     state: states.OwnerState, now_ms: int, status: messages.Status
 ) -> Out:
-    """Take in a status and what a new term or primary entails."""
+    """Apply a status and handle a change of the term or primary."""
     changed = views.apply_status(state.view, now_ms, status)
     if status.upstream == state.view.primary and status.leads:
         suspicion.note_alive(state.evidence, now_ms)
     if not changed:
         return []
     suspicion.reset(state.evidence, now_ms)
-    outs = _turn_term(state, now_ms)
+    outs = _change_term(state, now_ms)
     if state.view.primary:
         state.handing_over_since_ms = None
         outs.append(
@@ -46,8 +46,8 @@
     return outs
 
 
-def _turn_term(state: states.OwnerState, now_ms: int) -> Out:
-    """Leave the old term: what waited for it has an open fate now."""
+def _change_term(state: states.OwnerState, now_ms: int) -> Out:
+    """Leave the old term; requests that waited for it are in doubt now."""
     if state.round_state.term == state.view.term:
         return []
     waiters = rounds.remove_all_waiters(state.round_state)
@@ -67,7 +67,7 @@
 def handle_status(
     state: states.OwnerState, now_ms: int, message: messages.StatusReceived
 ) -> Out:
-    """Take in the reply to a heartbeat or to a round."""
+    """Handle the reply to a heartbeat or to a round."""
     status = message.status
     outs = update_view(state, now_ms, status)
     if message.round_id:
@@ -77,14 +77,14 @@
         ):
             outs += results.complete_confirmed(state, now_ms, waiter)
         return outs
-    _sample(state, message)
+    _add_sample(state, message)
     return outs
 
 
-def _sample(
+def _add_sample(
     state: states.OwnerState, message: messages.StatusReceived
 ) -> None:
-    """Have the age of the primary's place confirmed by the next round."""
+    """Add a sample of the primary's position for the next round."""
     status = message.status
     current = status.accepted_term == state.view.term and status.leads
     if not current or status.place.log_term != state.view.term:
@@ -103,10 +103,11 @@
 def handle_link_opened(
     state: states.OwnerState, now_ms: int, message: messages.LinkOpened
 ) -> Out:
-    """Have rounds that were asked without a connection asked again.
+    """Repeat rounds that were requested without a connection.
 
-    Otherwise they count as under way for two seconds, which is longer than
-    a read has: it would end unknown although all its upstreams answer.
+    Otherwise they count as in flight for two seconds, which is longer than
+    the deadline of a read: it would end unknown although all upstreams
+    answer.
     """
     rounds.forget_requests(state.round_state, message.upstream)
     return []
@@ -115,7 +116,7 @@
 def handle_probe_failed(
     state: states.OwnerState, now_ms: int, message: messages.ProbeFailed
 ) -> Out:
-    """Take in that an upstream did not answer."""
+    """Handle a failed probe of an upstream."""
     rounds.forget_requests(state.round_state, message.upstream)
     if message.upstream == state.view.primary:
         suspicion.note_failure(state.evidence, now_ms, message.kind)
@@ -125,7 +126,7 @@
 def handle_peer_suspicion(
     state: states.OwnerState, now_ms: int, message: messages.PeerSuspicion
 ) -> Out:
-    """Take in what another owner thinks of the primary."""
+    """Record whether another owner suspects the primary."""
     if message.term < state.view.term:
         return []
     if message.term > max(state.view.term, state.peer_term):
@@ -141,7 +142,7 @@
 def handle_owners(
     state: states.OwnerState, now_ms: int, message: messages.OwnersChanged
 ) -> Out:
-    """Take in who the live owners are."""
+    """Record the live owners."""
     state.owners = message.owners
     return []
 
@@ -149,7 +150,7 @@
 def handle_grants(
     state: states.OwnerState, now_ms: int, message: messages.GrantsReceived
 ) -> Out:
-    """Take in the terms that are this owner's alone."""
+    """Record the terms granted to this owner."""
     usable = {term for term in message.terms if term > state.view.term}
     if state.attempt is not None:
         usable.discard(state.attempt.term)
@@ -162,6 +163,6 @@
     now_ms: int,
     message: messages.UpstreamsLeaving,
 ) -> Out:
-    """Take in which upstreams are leaving."""
+    """Record the upstreams that are leaving."""
     state.leaving_upstreams = message.names
     return []
--- a/topazring/core/outcomes.py
+++ b/topazring/core/outcomes.py
@@ -1,4 +1,4 @@
-"""Tag what became of a request."""
+"""Final outcomes of a request."""
 
 import dataclasses
 import enum
@@ -18,7 +18,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Name why a request was refused, retried or left open."""
+    """Reason for which a request was refused, retried or left in doubt."""
 
     BACKLOG = 'backlog'
     CANCELLED = 'cancelled'
@@ -45,7 +45,7 @@
     UNPROVEN = 'unproven'
     UPSTREAM_FAILED = 'upstream_failed'
     UPSTREAM_TIMEOUT = 'upstream_timeout'
-    # Rejected input: the caller has to change something first.
+    # Rejected input: the caller has to change the request first.
     BAD_FRAME = 'bad_frame'
     BAD_REQUEST_ID = 'bad_request_id'
     BAD_STATEMENT = 'bad_statement'
@@ -59,7 +59,7 @@
     UNKNOWN_PROFILE = 'unknown_profile'
 
 
-# The reasons that reject the input itself.
+# Reasons that reject the request itself.
 REJECTION_REASONS = frozenset(
     {
         Reason.BAD_FRAME,
@@ -79,19 +79,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """Report that the request ran and a majority holds what it saw."""
+    """The request ran, and a majority holds what it read or wrote."""
 
     rows: list[list[typing.Any]]
     place: log_positions.LogPosition
     served_by: str = ''
     repeated: bool = False
-    # What the upstream signed its answer with, where it signs.
+    # The signature of the answer, for upstreams that sign their answers.
     signature: str = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """Report that the request did not run and never will under its id."""
+    """The request did not run and never will under its id."""
 
     reason: Reason
     retry_after_ms: int
@@ -99,14 +99,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """Report that whether the request ran could not be found out."""
+    """It could not be determined whether the request ran."""
 
     reason: Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """Report that the request itself is wrong; a repeat fails alike."""
+    """The request is invalid; repeating it fails in the same way."""
 
     reason: Reason
     detail: str
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -1,4 +1,4 @@
-"""Drive one database at one owner: messages in, messages out."""
+"""Event loop step of an owner of one database."""
 
 import collections.abc
 
@@ -19,7 +19,7 @@
 
 MAJORITY = 'majority'
 
-# The period of heartbeats while a loss is suspected.
+# Period of heartbeats while the primary is suspected.
 SUSPECTED_HEARTBEAT_MS = 50
 
 Handler = collections.abc.Callable[[states.OwnerState, int, object], list]
@@ -27,7 +27,7 @@
 
 
 def handles(kind: type) -> collections.abc.Callable[[Handler], Handler]:
-    """Register the handler of one kind of message."""
+    """Return a decorator that registers the handler of a message type."""
 
     def register(handler: Handler) -> Handler:
         _handlers[kind] = handler
@@ -38,21 +38,21 @@
 
 @groups.register_step(MAJORITY)
 def step(state: states.OwnerState, now_ms: int, message: object) -> list:
-    """Take in one message; return what is to be done about it."""
+    """Handle one message; return the messages to send."""
     outs = _handlers[type(message)](state, now_ms, message)
     outs += dispatch.dispatch(state, now_ms)
-    outs += _ask_replicas(state, now_ms)
+    outs += _start_round(state, now_ms)
     return outs
 
 
-def _ask_replicas(state: states.OwnerState, now_ms: int) -> list:
+def _start_round(state: states.OwnerState, now_ms: int) -> list:
     replicas = [
         name for name in state.view.upstreams if name != state.view.primary
     ]
-    asks = rounds.start_round(state.round_state, now_ms, replicas)
-    for ask in asks:
-        state.status_requested_ms[ask.upstream] = now_ms
-    return asks
+    requests = rounds.start_round(state.round_state, now_ms, replicas)
+    for request in requests:
+        state.status_requested_ms[request.upstream] = now_ms
+    return requests
 
 
 handles(messages.Submit)(arrival.submit)
@@ -93,18 +93,19 @@
 
 
 def _heartbeat(state: states.OwnerState, now_ms: int) -> list:
-    """Ask the primary, and each replica that no round asks, how it is."""
+    """Request the status of the primary and of replicas outside of rounds."""
     outs = []
     suspected = state.suspected_since_ms is not None
-    alarmed = suspected or suspicion.has_failure(state.evidence)
+    is_alarmed = suspected or suspicion.has_failure(state.evidence)
     for name in state.view.upstreams:
         period_ms = state.limits.heartbeat_ms
-        if alarmed:
-            # What the replicas say now decides how long writes stand still,
-            # and whether another owner has promoted already.
+        if is_alarmed:
+            # The replicas' reports now determine how long writes are blocked,
+            # and show whether another owner has promoted already.
             period_ms = min(period_ms, SUSPECTED_HEARTBEAT_MS)
         if name != state.view.primary:
-            # The round that the primary's own reply starts comes first.
+            # Longer than the primary's period, so that the round started by
+            # the primary's reply comes first.
             period_ms += period_ms // 2
         if now_ms - state.status_requested_ms.get(name, -10_000) < period_ms:
             continue
--- a/topazring/core/placement.py
+++ b/topazring/core/placement.py
@@ -1,8 +1,9 @@
-"""Keep the owners of all databases up to date at small cost.
+"""Maintain the owners of all databases incrementally.
 
-Working out 3,200 databases over 2,000 proxies anew takes seconds. So the
-best few candidates of each database are kept: a proxy that joins is scored
-once a database, and one that leaves is struck off where it stands.
+Computing the owners of 3,200 databases over 2,000 proxies takes seconds.
+Therefore the best few candidates of each database are cached: a proxy that
+joins is scored once per database, and one that leaves is removed where it is
+listed.
 """
 
 import bisect
@@ -19,16 +20,15 @@
     'set_database',
 ]
 
-# Candidates kept a database, and how few may be left before all are scored
-# again. Two data centres among so many fail to show up only if there are
-# hardly two.
+# Candidates cached per database, and the number below which all are scored
+# again. So many candidates cover two data centres unless there are hardly two.
 MAX_CANDIDATES = 16
 MIN_CANDIDATES = 8
 
 
 @dataclasses.dataclass(slots=True)
 class Placement:
-    """Hold the candidates and, for each database asked for, its best."""
+    """All candidates, and the best ones of each database looked up."""
 
     count: int
     candidates: dict[str, hashing.Candidate] = dataclasses.field(
@@ -48,7 +48,7 @@
 
 
 def set_database(placement: Placement, name: str, region: str) -> None:
-    """Take in a database, or that it moved to another region."""
+    """Add a database, or move it to another region."""
     if placement.databases.get(name) != region:
         placement.databases[name] = region
         placement.best.pop(name, None)
@@ -56,7 +56,7 @@
 
 
 def drop_database(placement: Placement, name: str) -> None:
-    """Forget a database."""
+    """Remove a database."""
     placement.databases.pop(name, None)
     placement.best.pop(name, None)
     placement.owners.pop(name, None)
@@ -66,31 +66,31 @@
     placement: Placement,
     candidates: collections.abc.Iterable[hashing.Candidate],
 ) -> set[str]:
-    """Take in who could own databases; return those that changed hands."""
+    """Replace the candidates; return the databases whose owners changed."""
     current = {candidate.name: candidate for candidate in candidates}
-    gone = [
+    removed = [
         known
         for name, known in placement.candidates.items()
         if current.get(name) != known
     ]
-    come = [
+    added = [
         candidate
         for name, candidate in current.items()
         if placement.candidates.get(name) != candidate
     ]
     touched: set[str] = set()
-    for candidate in gone:
+    for candidate in removed:
         touched |= _remove(placement, candidate)
-    for candidate in come:
+    for candidate in added:
         touched |= _add(placement, candidate)
-    return {name for name in touched if _settle(placement, name)}
+    return {name for name in touched if _update_owners(placement, name)}
 
 
 def owners_of(placement: Placement, name: str) -> tuple[str, ...]:
     """Return the owners of a database, in preference order."""
     owners = placement.owners.get(name)
     if owners is None:
-        _settle(placement, name)
+        _update_owners(placement, name)
         owners = placement.owners.get(name, ())
     return owners
 
@@ -113,17 +113,17 @@
 
 def _add(placement: Placement, candidate: hashing.Candidate) -> set[str]:
     placement.candidates[candidate.name] = candidate
-    first = candidate.region not in placement.regions
+    is_new_region = candidate.region not in placement.regions
     region = placement.regions.setdefault(candidate.region, {})
     region[candidate.name] = candidate
     touched = set()
     for name, best in list(placement.best.items()):
-        home = placement.databases[name]
-        if home == candidate.region and first:
-            # Others stood in while the region had nobody.
+        database_region = placement.databases[name]
+        if database_region == candidate.region and is_new_region:
+            # Proxies of other regions served it while its own had none.
             del placement.best[name]
             touched.add(name)
-        elif _is_eligible(placement, home, candidate):
+        elif _is_eligible(placement, database_region, candidate):
             bisect.insort(
                 best, (-hashing.score(name, candidate.name), candidate.name)
             )
@@ -133,17 +133,20 @@
 
 
 def _is_eligible(
-    placement: Placement, home: str, candidate: hashing.Candidate
+    placement: Placement, database_region: str, candidate: hashing.Candidate
 ) -> bool:
-    return candidate.region == home or home not in placement.regions
+    return (
+        candidate.region == database_region
+        or database_region not in placement.regions
+    )
 
 
 def _pool(placement: Placement, region: str) -> dict[str, hashing.Candidate]:
     return placement.regions.get(region) or placement.candidates
 
 
-def _settle(placement: Placement, name: str) -> bool:
-    """Choose the owners from the best; say whether they changed."""
+def _update_owners(placement: Placement, name: str) -> bool:
+    """Recompute the owners from the best; return whether they changed."""
     region = placement.databases.get(name)
     if region is None:
         return False
--- a/topazring/core/promotion.py
+++ b/topazring/core/promotion.py
@@ -1,12 +1,12 @@
-"""Promote an upstream: take a term, fence, choose, lead.
+"""Promote an upstream: fence a majority, choose the best log, make it lead.
 
-A majority that accepted the new term meets every majority that held an
-acknowledged write, so the furthest log among the first majority holds all
-of them; and from the fence on no lower term can gather a majority again.
-A term serves one attempt: once an upstream was told to lead it, it names no
-other. The rules follow Ongaro and Ousterhout, "In Search of an
+Any majority that accepted the new term intersects every majority that held
+an acknowledged write, so the log that is furthest ahead among the fenced
+majority holds all of them; once fenced, no lower term can reach a majority
+again. A term serves one attempt: after one upstream was asked to lead it, it
+is used for no other. The rules follow Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm" (2014), with the vote replaced by terms
-that the platform's service granted ahead of need.
+that the platform's service grants in advance.
 """
 
 import dataclasses
@@ -25,14 +25,14 @@
     'resend',
 ]
 
-# How long to wait for a majority that does without the suspect.
+# How long to wait for a majority that does not include the avoided upstreams.
 SUSPECT_GRACE_MS = 200
 RESEND_MS = 150
 ATTEMPT_MS = 1200
 
 
 class Phase(enum.StrEnum):
-    """Name how far an attempt has come."""
+    """Stage of an attempt."""
 
     FENCING = 'fencing'
     LEADING = 'leading'
@@ -42,12 +42,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """Hold one attempt to promote under one term."""
+    """Attempt to promote an upstream under one term."""
 
     term: int
     began_ms: int
     upstreams: tuple[str, ...]
-    # Not chosen while a majority does without it: it is suspected, leaving.
+    # Suspected or leaving upstreams, chosen only if there is no majority
+    # without them.
     avoid: frozenset[str]
     why: str
     phase: Phase = Phase.FENCING
@@ -65,7 +66,7 @@
     avoid: frozenset[str],
     why: str,
 ) -> tuple[Attempt, list[messages.Fence]]:
-    """Open an attempt and fence every upstream."""
+    """Begin an attempt; return it and the fences to send."""
     attempt = Attempt(term, now_ms, upstreams, avoid, why, sent_ms=now_ms)
     return attempt, [messages.Fence(name, term) for name in upstreams]
 
@@ -73,11 +74,11 @@
 def note_fenced(
     attempt: Attempt, now_ms: int, reply: messages.FenceReply
 ) -> list[messages.Lead]:
-    """Take in a reply to the fence; choose once a majority accepted."""
+    """Record a reply to a fence; choose once a majority accepted."""
     if attempt.phase is not Phase.FENCING or reply.term != attempt.term:
         return []
     if not reply.accepted:
-        # A higher term is at work, or another claimant holds this one.
+        # A higher term is in use, or another claimant holds this one.
         attempt.phase = Phase.FAILED
         return []
     attempt.fenced[reply.status.upstream] = reply.status
@@ -93,8 +94,8 @@
     }
     candidates = preferred
     if len(preferred) < needed:
-        # The suspect is one of the only majority there is. It may hold the
-        # furthest log, so it has to be a candidate, after a grace.
+        # The only majority includes an avoided upstream. It may have the
+        # furthest log, so it becomes a candidate after a grace period.
         in_grace = now_ms - attempt.began_ms < SUSPECT_GRACE_MS
         if len(attempt.fenced) < needed or in_grace:
             return []
@@ -109,7 +110,7 @@
 
 
 def note_lead_reply(attempt: Attempt, reply: messages.LeadReply) -> None:
-    """Take in the reply of the upstream that was told to lead."""
+    """Record the reply of the upstream that was asked to lead."""
     if attempt.phase is not Phase.LEADING or reply.term != attempt.term:
         return
     if reply.status.upstream != attempt.chosen:
@@ -120,7 +121,7 @@
 def resend(
     attempt: Attempt, now_ms: int
 ) -> list[messages.Fence | messages.Lead]:
-    """Repeat what was not answered; the same request again does no harm."""
+    """Resend unanswered requests, which are idempotent."""
     if attempt.phase is Phase.FENCING:
         chosen = _choose(attempt, now_ms)
         if chosen:
@@ -140,7 +141,7 @@
 
 
 def expire(attempt: Attempt, now_ms: int) -> None:
-    """Fail an attempt that takes too long; the next uses another term."""
+    """Fail an attempt that takes too long; the next one uses another term."""
     if attempt.phase in (Phase.WON, Phase.FAILED):
         return
     if now_ms - attempt.began_ms > ATTEMPT_MS:
--- a/topazring/core/request_ids.py
+++ b/topazring/core/request_ids.py
@@ -1,8 +1,8 @@
-"""Make and judge the ids that callers give to writes.
+"""Create and check the ids that callers give to writes.
 
-An id starts with its time, so that an owner can tell an id whose record is
-still kept from one that is too old to be judged. Without that, a write
-repeated after its record has gone would run a second time.
+An id starts with its creation time, so that an owner can distinguish an id
+whose request record is still stored from one whose record may have expired.
+Otherwise a write repeated after its record expired would run a second time.
 """
 
 import re
@@ -10,7 +10,7 @@
 __all__ = ['is_too_old', 'is_well_formed', 'make_request_id']
 
 _FORM = re.compile(r'([0-9a-f]{11,12})-([0-9a-zA-Z]{8,40})')
-# Clocks of callers may run ahead of ours by that much.
+# The clocks of callers may be ahead of ours by this much.
 MAX_CLOCK_LEAD_MS = 60_000
 
 
@@ -24,11 +24,14 @@
 
 
 def is_well_formed(request_id: str) -> bool:
-    """Say whether the id has the form that callers are told to use."""
+    """Return whether the id has the documented form."""
     return _FORM.fullmatch(request_id) is not None
 
 
-def is_too_old(request_id: str, now_ms: int, kept_ms: int) -> bool:
-    """Say whether the id's record may be gone, or its time is not yet."""
-    made_ms = int(request_id.split('-')[0], 16)
-    return made_ms < now_ms - kept_ms or made_ms > now_ms + MAX_CLOCK_LEAD_MS
+def is_too_old(request_id: str, now_ms: int, retention_ms: int) -> bool:
+    """Return whether the id's record may be gone or its time is ahead."""
+    created_ms = int(request_id.split('-')[0], 16)
+    return (
+        created_ms < now_ms - retention_ms
+        or created_ms > now_ms + MAX_CLOCK_LEAD_MS
+    )
--- a/topazring/core/requests.py
+++ b/topazring/core/requests.py
@@ -1,4 +1,4 @@
-"""Describe the work that callers ask an owner to do."""
+"""Requests that callers send to an owner."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Name what a request asks for."""
+    """Kind of a request."""
 
     READ = 'read'
     WRITE = 'write'
@@ -21,14 +21,14 @@
     ROLLBACK = 'rollback'
 
 
-# The kinds that leave a request record behind, so that their fate can be
-# found out after a loss.
+# Kinds that write a request record, so that their outcome can be determined
+# after the answer was lost.
 RECORDED_KINDS = frozenset({Kind.WRITE, Kind.COMMIT, Kind.SETTLE})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Profile:
-    """State what a class of traffic accepts."""
+    """Staleness, deadlines and retries that a class of traffic accepts."""
 
     name: str
     max_staleness_ms: int = 0
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Statement:
-    """Hold one SQL text and its parameters."""
+    """SQL text and its parameters."""
 
     sql: str
     parameters: list[typing.Any] = dataclasses.field(default_factory=list)
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one request as an owner sees it.
+    """Request as an owner receives it.
 
-    `key` is the owner's own number for it; `request_id` is the caller's and
-    is the same on every copy of a write.
+    `key` is a number that the owner assigns; `request_id` is assigned by the
+    caller and is the same on every copy of a write.
     """
 
     key: int
@@ -64,5 +64,5 @@
     request_id: str = ''
     token_place: log_positions.LogPosition = log_positions.ORIGIN
     transaction: int = 0
-    # An earlier copy under the same id may have run.
+    # An earlier copy with the same id may have run.
     repeat: bool = False
--- a/topazring/core/results.py
+++ b/topazring/core/results.py
@@ -1,4 +1,4 @@
-"""Take in what upstreams did with requests."""
+"""Handle the results of requests that ran at upstreams."""
 
 from topazring.core import completion
 from topazring.core import log_positions
@@ -28,27 +28,27 @@
 def handle_executed(
     state: states.OwnerState, now_ms: int, message: messages.Executed
 ) -> Out:
-    """Take in what an upstream did with a request."""
+    """Handle the result of a request at an upstream."""
     state.in_flight[message.upstream] -= 1
     work = state.work.get(message.key)
     if work is None or work.attempt != message.attempt:
-        return _late(state, message)
+        return _discard_late(state, message)
     match message.result:
         case messages.Ran():
             return _ran(state, now_ms, work, message.result)
         case messages.Refused():
-            return _refused(state, now_ms, work, message.result)
+            return _handle_refused(state, now_ms, work, message.result)
         case messages.SqlFailed():
-            return _sql_failed(state, work, message.result)
+            return _handle_sql_failed(state, work, message.result)
         case messages.ConnectionLost():
-            return _lost(state, now_ms, work, message.result)
+            return _handle_lost(state, now_ms, work, message.result)
 
 
-def _late(state: states.OwnerState, message: messages.Executed) -> Out:
+def _discard_late(state: states.OwnerState, message: messages.Executed) -> Out:
     """Drop a result whose request already has its final answer.
 
-    A transaction that began after its caller was answered has no one to
-    end it; its connection would stay taken until its own deadline.
+    A transaction that began after its caller was answered is closed, since
+    nobody would end it: its connection would be held until its deadline.
     """
     state.counters['late_result'] += 1
     if message.key in state.transactions:
@@ -72,7 +72,7 @@
         return _ran_at_replica(state, now_ms, work, result)
     kind = work.request.kind
     if kind is Kind.BEGIN:
-        return _began(state, work)
+        return _handle_begun(state, work)
     if kind is Kind.EXECUTE:
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
@@ -115,7 +115,7 @@
     return completion.finish(state, work, done)
 
 
-def _began(state: states.OwnerState, work: states.Work) -> Out:
+def _handle_begun(state: states.OwnerState, work: states.Work) -> Out:
     request = work.request
     state.transactions[request.key] = states.Transaction(
         work.upstream,
@@ -127,7 +127,7 @@
     return completion.finish(state, work, done)
 
 
-def _refused(
+def _handle_refused(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
@@ -160,7 +160,7 @@
 def _lose_transaction(
     state: states.OwnerState, work: states.Work, reason: Reason
 ) -> Out:
-    """End a transaction whose connection is closed: it rolls back there."""
+    """End a transaction whose closed connection rolls it back."""
     key = work.request.transaction
     state.transactions.pop(key, None)
     if reason is not Reason.CONFLICT:
@@ -174,7 +174,7 @@
     )
 
 
-def _sql_failed(
+def _handle_sql_failed(
     state: states.OwnerState, work: states.Work, result: messages.SqlFailed
 ) -> Out:
     transaction = state.transactions.get(work.request.transaction)
@@ -185,7 +185,7 @@
     )
 
 
-def _lost(
+def _handle_lost(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
@@ -199,8 +199,8 @@
         if not result.sent and not work.is_resolving:
             return _lose_transaction(state, work, result.reason)
     if not result.sent:
-        # No upstream was given work, so no budget is spent; the pause keeps
-        # a dead primary from being dialled in a tight loop.
+        # Nothing was sent to the upstream, so no retry budget is spent; the
+        # pause avoids connecting to a dead primary in a tight loop.
         state.busy_until_ms[work.upstream] = now_ms + UNREACHED_PAUSE_MS
         return completion.requeue(state, now_ms, work, result.reason, False)
     if kind in requests.RECORDED_KINDS:
@@ -214,7 +214,7 @@
 def complete_confirmed(
     state: states.OwnerState, now_ms: int, waiter: rounds.Waiter
 ) -> Out:
-    """Answer a request whose place a majority holds."""
+    """Answer a request whose log position a majority holds."""
     if waiter.needs_position:
         state.view.committed = max(state.view.committed, waiter.place)
     sample = log_positions.Sample(waiter.sent_ms, waiter.place)
--- a/topazring/core/revisions.py
+++ b/topazring/core/revisions.py
@@ -1,4 +1,4 @@
-"""Keep a stream of revisioned values that never goes back."""
+"""Replicate revisioned values without ever reverting to an older state."""
 
 import collections.abc
 import dataclasses
@@ -12,15 +12,15 @@
     'record_compaction',
 ]
 
-# A delta is cut after so many bytes of values; the rest follows.
+# Size of the values after which a delta is split; the rest is sent later.
 DELTA_BYTES = 48_000
-# Of more gaps than these the oldest two are taken for one.
+# Above this number the two oldest ranges are merged into one.
 MAX_COMPACTED_RANGES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """Hold a value as of a revision; None says that it was deleted."""
+    """Value of a key at a revision; None if it was deleted."""
 
     key: str
     revision: int
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Revisions:
-    """Hold all changes up to `seen`, the last of each key."""
+    """The last change of each key, up to the revision `seen`."""
 
     seen: int = 0
     changes: dict[str, Change] = dataclasses.field(default_factory=dict)
-    # From and up to which revision everything was read at once: of a key that
-    # came and ended in between nothing is known.
+    # Ranges of compacted history, after which all values were read at once.
+    # Keys created and deleted within a range are unknown.
     compacted_ranges: list[tuple[int, int]] = dataclasses.field(
         default_factory=list
     )
@@ -46,18 +46,18 @@
     upto: int,
     changes: collections.abc.Iterable[Change],
 ) -> list[Change] | None:
-    """Take in all that changed after `since` up to `upto`.
+    """Apply all changes after `since` up to `upto`.
 
-    Returns what is new, or None when something between `seen` and `since`
-    is missing: taking it would hide the gap for good, as nobody would be
-    asked for it again.
+    Return the new changes, or None if the changes between `seen` and `since`
+    are missing. Applying them would hide the missing ones permanently,
+    because they would never be requested again.
     """
     if since > revisions.seen:
         return None
     new = []
     for change in sorted(changes, key=lambda change: change.revision):
-        known = revisions.changes.get(change.key)
-        if known is not None and known.revision >= change.revision:
+        current = revisions.changes.get(change.key)
+        if current is not None and current.revision >= change.revision:
             continue
         revisions.changes[change.key] = change
         new.append(change)
@@ -66,7 +66,7 @@
 
 
 def delta(revisions: Revisions, since: int) -> tuple[int, list[Change]]:
-    """Return what a peer at `since` lacks, and up to which revision."""
+    """Return the changes after `since`, and up to which revision they go."""
     later = [c for c in revisions.changes.values() if c.revision > since]
     later.sort(key=lambda change: change.revision)
     size = 0
@@ -80,32 +80,33 @@
 def record_compaction(
     revisions: Revisions, upto: int, present: collections.abc.Iterable[Change]
 ) -> list[Change]:
-    """Return the ends of keys that are missing where all was read at once.
+    """Record compacted history; return deletions of the keys not `present`.
 
-    To be called before what was read is merged.
+    `present` holds all values, read at once at revision `upto`. Call this
+    before merging them.
     """
     if upto > revisions.seen:
         revisions.compacted_ranges.append((revisions.seen, upto))
     if len(revisions.compacted_ranges) > MAX_COMPACTED_RANGES:
         first, second, *others = revisions.compacted_ranges
         revisions.compacted_ranges = [(first[0], second[1]), *others]
-    there = {change.key for change in present}
+    present_keys = {change.key for change in present}
     return [
         Change(key, upto, None)
-        for key, known in revisions.changes.items()
-        if key not in there and known.value is not None
+        for key, current in revisions.changes.items()
+        if key not in present_keys and current.value is not None
     ]
 
 
 def missing_changes(
     revisions: Revisions, since: int
 ) -> tuple[bool, list[Change]]:
-    """Return what someone lacks at `since`, and whether that is everything.
+    """Return what a peer at `since` lacks, and whether that is all values.
 
-    Everything has to be compared by someone who stands in a gap: it may know
-    a key that came after the gap's beginning and ended before its end. One
-    that stands before or behind it needs only what changed, so that history
-    which the service forgets is read anew by few and told as usual.
+    A peer within a compacted range needs all values to compare with its own:
+    it may have a key that was created and deleted within the range. A peer
+    before or after the range needs only the changes, so that few proxies
+    read all values again when the service compacts its history.
 
     >>> known = Revisions()
     >>> both = [Change('a', 1, 'x'), Change('b', 2, 'y')]
@@ -117,10 +118,10 @@
     >>> missing_changes(known, 7)
     (True, [Change(key='a', revision=1, value='x')])
     """
-    everything = not since or any(
-        first < since < upto for first, upto in revisions.compacted_ranges
+    is_full = not since or any(
+        start < since < end for start, end in revisions.compacted_ranges
     )
-    if not everything:
+    if not is_full:
         changes = revisions.changes.values()
         return False, [c for c in changes if c.revision > since]
     live = [c for c in revisions.changes.values() if c.value is not None]
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -1,11 +1,11 @@
-"""Confirm places by rounds in which a majority holds them under one term.
-
-A round asks every replica for its status. One round serves all requests
-that wait when it begins, so the cost grows with time and not with requests.
-The primary counts once, for the reply that named the place: a promotion
-needs a majority to accept a higher term, so if the primary answered under
-`term` and enough replicas still hold to `term` afterwards, no promotion was
-complete when it answered.
+"""Confirm log positions by rounds in which a majority reports its status.
+
+A round requests the status of every replica. One round serves all requests
+that wait when it begins, so the cost grows with time and not with the number
+of requests. The primary counts as one member, by the reply that reported the
+position: a promotion needs a majority to accept a higher term, so if the
+primary answered under `term` and enough replicas are still at `term`
+afterwards, no promotion was complete when it answered.
 """
 
 import dataclasses
@@ -24,20 +24,20 @@
     'remove_waiter',
 ]
 
-# Rounds in flight to one replica. More shorten the wait for the next round
-# at long lags, fewer let one round serve more requests.
+# Limit of the rounds in flight to one replica. More of them shorten the wait
+# for the next round at high lag, fewer let one round serve more requests.
 MAX_ROUNDS_IN_FLIGHT = 4
 STATUS_WAIT_MS = 1000
-# An ask that outlives its own wait by this much is given up.
+# A status request is abandoned when it is overdue by this much.
 STATUS_GRACE_MS = 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Waiter:
-    """Wait until a majority holds `place`, or only the term of it.
+    """Request that waits until a majority holds `place`, or just its term.
 
-    `first_round` is the first round that began after the place was seen: an
-    earlier one says nothing about the time since.
+    `first_round` is the first round that began after the position was
+    reported: earlier rounds say nothing about the time since.
     """
 
     key: int
@@ -50,12 +50,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Rounds:
-    """Hold the waiters and the asks that are under way."""
+    """Waiting requests, and status requests in flight."""
 
     term: int = 0
     next_round: int = 1
     waiters: dict[int, Waiter] = dataclasses.field(default_factory=dict)
-    # For each replica, the rounds asked and not yet answered, with the time.
+    # For each replica, the unanswered rounds and when they were sent.
     in_flight: dict[str, dict[int, int]] = dataclasses.field(
         default_factory=dict
     )
@@ -68,7 +68,7 @@
     sent_ms: int,
     needs_place: bool = True,
 ) -> None:
-    """Add a waiter, to be confirmed by rounds that begin from now on."""
+    """Add a waiter; only rounds that begin from now on can confirm it."""
     rounds.waiters[key] = Waiter(
         key, place, sent_ms, rounds.next_round, needs_place
     )
@@ -80,7 +80,7 @@
 
 
 def remove_all_waiters(rounds: Rounds) -> list[Waiter]:
-    """Remove and return all waiters: their term is over."""
+    """Remove and return all waiters, at the end of their term."""
     waiters = list(rounds.waiters.values())
     rounds.waiters.clear()
     rounds.in_flight.clear()
@@ -88,18 +88,18 @@
 
 
 def forget_requests(rounds: Rounds, upstream: str) -> None:
-    """Forget what was asked on a control connection that was lost."""
+    """Forget the requests sent on a control connection that was lost."""
     rounds.in_flight.pop(upstream, None)
 
 
 def start_round(
     rounds: Rounds, now_ms: int, replicas: list[str]
 ) -> list[messages.RequestStatus]:
-    """Begin a round with each replica that has room and news to confirm."""
+    """Start a round with each replica that could confirm waiters."""
     if not rounds.waiters:
         return []
     round_id = rounds.next_round
-    asks = []
+    requests = []
     for name in replicas:
         waiting = _waiting_for(rounds, now_ms, name)
         if not waiting:
@@ -107,25 +107,27 @@
         needed = [w.place for w in waiting if w.needs_position]
         place = max(needed, default=log_positions.ORIGIN)
         rounds.in_flight.setdefault(name, {})[round_id] = now_ms
-        asks.append(
+        requests.append(
             messages.RequestStatus(
                 name, round_id, rounds.term, place, STATUS_WAIT_MS
             )
         )
-    if asks:
+    if requests:
         rounds.next_round += 1
-    return asks
+    return requests
 
 
 def _waiting_for(rounds: Rounds, now_ms: int, name: str) -> list[Waiter]:
-    """Return the waiters that a new ask to this replica would serve."""
-    asked = rounds.in_flight.get(name, {})
+    """Return the waiters that a new request to this replica would serve."""
+    in_flight = rounds.in_flight.get(name, {})
     expired_ms = now_ms - STATUS_WAIT_MS - STATUS_GRACE_MS
-    for round_id in [r for r, at_ms in asked.items() if at_ms < expired_ms]:
-        del asked[round_id]
-    if len(asked) >= MAX_ROUNDS_IN_FLIGHT:
+    for round_id in [
+        r for r, at_ms in in_flight.items() if at_ms < expired_ms
+    ]:
+        del in_flight[round_id]
+    if len(in_flight) >= MAX_ROUNDS_IN_FLIGHT:
         return []
-    newest = max(asked, default=0)
+    newest = max(in_flight, default=0)
     return [
         waiter
         for waiter in rounds.waiters.values()
@@ -136,12 +138,12 @@
 def note_status(
     rounds: Rounds, round_id: int, status: messages.Status, majority: int
 ) -> list[Waiter]:
-    """Take in a round's reply; remove and return the waiters it confirms.
+    """Record a round's reply; remove and return the waiters it confirms.
 
-    A status counts only while the upstream holds to the round's own term.
-    For a place the *last entry* has to be of that term too: an upstream that
-    accepted the term may still hold a longer tail of an older one, which
-    says nothing about the entries of this term.
+    A status counts only while the upstream is at the round's own term. To
+    confirm a position, the upstream's *last entry* has to be of that term
+    too: an upstream that accepted the term may still have a longer tail of
+    an older one, which says nothing about the entries of this term.
     """
     rounds.in_flight.get(status.upstream, {}).pop(round_id, None)
     if status.accepted_term != rounds.term or status.leads:
--- a/topazring/core/state.py
+++ b/topazring/core/state.py
@@ -1,4 +1,4 @@
-"""Hold all that an owner knows and does for one database."""
+"""State of an owner for one database."""
 
 import collections
 import dataclasses
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Hold what an owner may use of its upstreams, and its own timing."""
+    """Limits on an owner's use of its upstreams, and its timing."""
 
     slots: int = 3
     connections: int = 12
@@ -38,7 +38,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Name where a request stands."""
+    """Stage of a request at the owner."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """Hold one request on its way."""
+    """Request that the owner has not answered yet."""
 
     request: requests.Request
     arrived_ms: int
@@ -57,20 +57,20 @@
     term: int = 0
     sent_ms: int = 0
     at_replica: bool = False
-    # The replica said that it is behind; the primary serves it now.
+    # A replica reported that it is behind; only the primary may serve it.
     primary_only: bool = False
-    # Sent at least once without an answer: it may have run.
+    # Sent at least once without an answer, so that it may have run.
     maybe_ran: bool = False
-    # The record at the primary is asked instead of running it again.
+    # The request record at the primary is read instead of running it again.
     is_resolving: bool = False
-    # Why the last attempt ended, to be told if no other succeeds.
+    # Why the last attempt failed; reported if no later one succeeds.
     last_reason: outcomes.Reason = outcomes.Reason.NO_PRIMARY
     result: messages.Ran | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class Transaction:
-    """Hold a transaction's connection and its limits."""
+    """Connection and deadline of an open transaction."""
 
     upstream: str
     term: int
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnerState:
-    """Hold one database's state at one owner."""
+    """State of one database at one owner."""
 
     name: str
     database: str
@@ -89,15 +89,15 @@
     view: views.GroupView
     rng: random.Random
     work: dict[int, Work] = dataclasses.field(default_factory=dict)
-    # What only the primary can serve, and what a replica may.
+    # Requests that only the primary can serve, and those for replicas.
     primary_queue: admission.FairQueue = dataclasses.field(
         default_factory=lambda: admission.FairQueue(limit=400)
     )
     replica_queue: admission.FairQueue = dataclasses.field(
         default_factory=lambda: admission.FairQueue(limit=400)
     )
-    # Statements of open transactions and open fates: these go first, for
-    # they hold what others wait for.
+    # Statements of open transactions and requests in doubt. They are sent
+    # first because they hold resources that others wait for.
     urgent: collections.deque[int] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -110,7 +110,7 @@
     )
     budget: retries.Budget = dataclasses.field(default_factory=retries.Budget)
     service_ms: float = 2.0
-    # An upstream that said its slots are taken gets nothing until then.
+    # Until when nothing is sent to an upstream that had no free slot.
     busy_until_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     evidence: suspicion.Evidence = dataclasses.field(
         default_factory=suspicion.Evidence
@@ -119,12 +119,12 @@
     peer_suspects: dict[str, tuple[int, int]] = dataclasses.field(
         default_factory=dict
     )
-    # The highest term that another owner told of, and since when.
+    # The highest term that another owner reported, and since when.
     peer_term: int = 0
     peer_term_since_ms: int = 0
     suspicion_sent_ms: int = -10_000
     suspected_since_ms: int | None = None
-    # Since when this owner, and perhaps no other, cannot reach the primary.
+    # Since when this owner, and possibly no other, cannot reach the primary.
     unreachable_since_ms: int | None = None
     grants: set[int] = dataclasses.field(default_factory=set)
     used_terms: set[int] = dataclasses.field(default_factory=set)
@@ -149,7 +149,7 @@
     limits: Limits,
     rng: random.Random,
 ) -> OwnerState:
-    """Return the state of an owner that has heard nothing yet."""
+    """Return the initial state of an owner."""
     state = OwnerState(name, database, limits, views.make_view(upstreams), rng)
     state.primary_queue.limit = limits.queue
     state.replica_queue.limit = limits.queue
@@ -157,7 +157,7 @@
 
 
 def free_slots(state: OwnerState, now_ms: int) -> dict[str, int]:
-    """Return how many statements each upstream may still be given."""
+    """Return how many more statements each upstream can run now."""
     free = {}
     for name in state.view.upstreams:
         if state.busy_until_ms.get(name, 0) > now_ms:
--- a/topazring/core/suspicion.py
+++ b/topazring/core/suspicion.py
@@ -1,9 +1,9 @@
-"""Weigh the evidence that a primary is lost.
+"""Failure detection: decide whether a primary is lost.
 
-"Unknown" is an answer. What tells the verdicts apart is who else can see:
-the replicas say how long their primary has been silent, so an owner whose
-own link is cut does not take that for the primary's end, and a primary that
-answers its callers while it is cut off from its replicas is still lost.
+The replicas report how long they have received nothing from their primary.
+An owner whose own link is cut therefore does not suspect the primary, and a
+primary that answers its callers but is partitioned from its replicas is
+suspected. The verdict may also be that the primary's state is unknown.
 """
 
 import dataclasses
@@ -23,36 +23,36 @@
     'note_pause',
 ]
 
-# Silence of the primary that its replicas have to report.
+# Time without contact to the primary that its replicas have to report.
 REPLICA_SILENCE_MS = 350
-# A term without a primary is given up after that long.
+# How long a term may be without a primary.
 NO_PRIMARY_MS = 400
-# Silence towards all replicas that counts even if the primary answers us.
-# It is longer: there is no failure of our own to go with it.
+# The same for a primary that still answers this owner. It is longer because
+# no failure seen by this owner supports it.
 ISOLATED_PRIMARY_SILENCE_MS = 650
-# A replica that heard from its primary so lately speaks for it.
+# A replica that had contact to its primary within this time shows it is alive.
 RECENT_CONTACT_MS = 150
-# A replica's word is taken for that long.
+# How long the status of a replica is used.
 MAX_REPORT_AGE_MS = 800
-# A local pause as long as this makes silence seen meanwhile worthless.
+# After a local pause of this length, timeouts seen during it are ignored.
 PAUSE_MS = 150
-# After a pause, silence counts again once new probes had time to answer.
+# How long after a pause timeouts are ignored, until new probes can answer.
 PAUSE_RECOVERY_MS = 500
 
 
 class Verdict(enum.StrEnum):
-    """Say what the evidence amounts to."""
+    """Verdict on a primary."""
 
     ALIVE = 'alive'
     UNKNOWN = 'unknown'
-    # It cannot be reached from here, while its replicas hear from it.
+    # It is unreachable from here, while its replicas have contact to it.
     LOCAL_FAILURE = 'ours'
     SUSPECT = 'suspect'
 
 
 @dataclasses.dataclass(slots=True)
 class Evidence:
-    """Hold what this owner met at the primary since it last answered."""
+    """Failed probes of the primary since its last answer."""
 
     refused: int = 0
     silent_new: int = 0
@@ -61,22 +61,23 @@
 
 
 def reset(evidence: Evidence, now_ms: int) -> None:
-    """Start anew with another primary."""
+    """Discard the evidence, for a new primary."""
     evidence.refused = 0
     evidence.silent_new = 0
     evidence.alive_ms = now_ms
 
 
 def note_alive(evidence: Evidence, now_ms: int) -> None:
-    """Count an answer of the primary."""
+    """Record an answer of the primary."""
     reset(evidence, now_ms)
 
 
 def note_failure(evidence: Evidence, now_ms: int, kind: str) -> None:
     """Count a failed probe.
 
-    Silence on an old connection condemns the connection alone; the prober
-    opens a new one, and only silence there speaks of the upstream.
+    A timeout on an old connection only shows that the connection failed. The
+    prober then opens a new one, and only a timeout there is evidence against
+    the upstream.
     """
     if kind == 'refused':
         evidence.refused += 1
@@ -85,10 +86,10 @@
 
 
 def note_pause(evidence: Evidence, now_ms: int, paused_ms: int) -> None:
-    """Discount silence seen while this process did not run.
+    """Ignore timeouts seen while this process did not run.
 
-    What goes wrong without it: a proxy that was stopped for a second wakes
-    to find all its probes overdue and suspects a healthy primary.
+    Otherwise a proxy that was stopped for a second finds all its probes
+    overdue when it resumes, and suspects a healthy primary.
     """
     if paused_ms < PAUSE_MS:
         return
@@ -97,21 +98,21 @@
 
 
 def is_unreachable(evidence: Evidence) -> bool:
-    """Say whether this owner cannot reach the primary by any connection."""
+    """Return whether this owner cannot reach the primary by any connection."""
     return evidence.refused >= 2 or evidence.silent_new >= 1
 
 
 def has_failure(evidence: Evidence) -> bool:
-    """Say whether anything at all went wrong since the last answer."""
+    """Return whether any probe failed since the last answer."""
     return evidence.refused >= 1 or evidence.silent_new >= 1
 
 
 def judge(
     evidence: Evidence, view: views.GroupView, now_ms: int
 ) -> tuple[Verdict, str]:
-    """Return the verdict on the primary and the grounds for it."""
+    """Return the verdict on the primary and the reason for it."""
     if now_ms < evidence.ignore_silence_until_ms:
-        return Verdict.UNKNOWN, 'this proxy was paused itself'
+        return Verdict.UNKNOWN, 'this proxy itself was paused'
     silences = _replica_silences(view, now_ms)
     needed = views.majority(view)
     if not view.primary:
@@ -122,38 +123,38 @@
         kind = 'refuses' if evidence.refused >= 2 else 'is silent to'
         return (
             Verdict.SUSPECT,
-            f'{view.primary} {kind} new connections; its replicas have not '
-            f'heard from it for {least} ms',
+            f'{view.primary} {kind} new connections; its replicas have had '
+            f'no contact with it for {least} ms',
         )
     if lost and len(silences) >= needed - 1 and least <= RECENT_CONTACT_MS:
         return (
             Verdict.LOCAL_FAILURE,
-            f'{view.primary} cannot be reached from here, but its replicas '
-            f'heard from it {least} ms ago',
+            f'{view.primary} is unreachable from here, but its replicas had '
+            f'contact with it {least} ms ago',
         )
     if lost:
         return (
             Verdict.UNKNOWN,
-            f'{view.primary} cannot be reached from here, but a majority '
-            f'does not confirm that it is lost ({silences})',
+            f'{view.primary} is unreachable from here, but a majority does '
+            f'not confirm that it is lost ({silences})',
         )
     if len(silences) >= needed and least >= ISOLATED_PRIMARY_SILENCE_MS:
         return (
             Verdict.SUSPECT,
-            f'{view.primary} answers but its replicas have not heard from '
-            f'it for {least} ms',
+            f'{view.primary} answers but its replicas have had no contact '
+            f'with it for {least} ms',
         )
     return Verdict.ALIVE, f'{view.primary} answers'
 
 
 def _judge_absent(view: views.GroupView, now_ms: int) -> tuple[Verdict, str]:
-    """Judge a group that has no primary at the highest term seen.
+    """Return the verdict on a group without a primary at the highest term.
 
-    A primary of a lower term may still answer. It is not waited for: the
-    upstream that accepted the higher term never comes back to it.
+    A primary of a lower term may still answer. It is not waited for, because
+    an upstream that accepted the higher term never returns to a lower one.
     """
     if view.changed_ms is None:
-        return Verdict.UNKNOWN, 'nothing was heard of this group yet'
+        return Verdict.UNKNOWN, 'no status of this group has been received yet'
     seen = [u for u in view.upstreams.values() if _is_recent(u, now_ms)]
     absent_ms = now_ms - view.changed_ms
     if len(seen) >= views.majority(view) and absent_ms >= NO_PRIMARY_MS:
@@ -171,7 +172,7 @@
 
 
 def _replica_silences(view: views.GroupView, now_ms: int) -> list[int]:
-    """Return how long each replica heard nothing from its primary."""
+    """Return for each replica the time since contact to its primary."""
     silences = []
     for seen in view.upstreams.values():
         if seen.name == view.primary or not _is_recent(seen, now_ms):
--- a/topazring/core/tokens.py
+++ b/topazring/core/tokens.py
@@ -15,7 +15,7 @@
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """State what a session has seen, and whose session it is."""
+    """Organisation, database and last seen log position of a session."""
 
     organisation: str
     database: str
@@ -23,16 +23,16 @@
     position: int
 
     def place(self) -> log_positions.LogPosition:
-        """Return the place that the session has seen."""
+        """Return the log position that the session has seen."""
         return log_positions.LogPosition(self.log_term, self.position)
 
 
 class TokenError(ValueError):
-    """Say why a token is refused."""
+    """Token that is malformed, forged or issued for another session."""
 
 
 def sign_token(session: Session, key: bytes) -> str:
-    """Return a signed token that any proxy can check without state."""
+    """Return a signed token that any proxy can verify without state."""
     body = msgspec.msgpack.encode(session)
     return base64.urlsafe_b64encode(_mac(body, key) + body).decode()
 
@@ -40,18 +40,19 @@
 def verify_token(
     token: str, keys: list[bytes], organisation: str, database: str
 ) -> Session:
-    """Check a token; raise TokenError if it is forged or foreign.
+    """Return a token's session; raise TokenError if it is not valid here.
 
-    A caller that could name any place could hold up reads for good, or be
-    told by waiting times how far another organisation's log has come.
+    A caller that could forge a log position could block its reads
+    indefinitely, or infer from the waiting times how far another
+    organisation's log has advanced.
     """
     try:
         raw = base64.urlsafe_b64decode(token.encode())
     except (binascii.Error, ValueError):
         raise TokenError('the token is not well-formed') from None
     mac, body = raw[:MAC_BYTES], raw[MAC_BYTES:]
-    known = any(hmac.compare_digest(mac, _mac(body, key)) for key in keys)
-    if not known:
+    is_signed = any(hmac.compare_digest(mac, _mac(body, key)) for key in keys)
+    if not is_signed:
         raise TokenError('the token was not signed here')
     session = msgspec.msgpack.decode(body, type=Session)
     if (session.organisation, session.database) != (organisation, database):
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -1,4 +1,4 @@
-"""Keep what one owner has seen of a database group."""
+"""An owner's view of a database group."""
 
 import collections
 import dataclasses
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UpstreamView:
-    """Hold the last that was heard of one upstream."""
+    """Last status received from an upstream."""
 
     name: str
     accepted_term: int = 0
@@ -29,17 +29,17 @@
     place: log_positions.LogPosition = log_positions.ORIGIN
     seen_ms: int | None = None
     primary_silent_ms: int = 0
-    # When it went over to its term, if this owner knew it before.
+    # When it changed to its term, if it was seen under an earlier one.
     term_since_ms: int | None = None
-    # How long this replica takes to reach a place, as a moving average.
+    # Moving average of the time this replica takes to reach a position.
     lag_ms: float = 0.0
-    # The sample whose arrival at this replica is measured next.
+    # The sample whose arrival at this replica is being measured.
     lag_sample: log_positions.Sample | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class GroupView:
-    """Hold one owner's knowledge of the group; it may be stale."""
+    """State of the group as seen by one owner; it may be stale."""
 
     upstreams: dict[str, UpstreamView]
     term: int = 0
@@ -48,12 +48,12 @@
     samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
-    # When the primary was last found or lost.
+    # When the term or the primary last changed.
     changed_ms: int | None = None
 
 
 def make_view(names: list[str]) -> GroupView:
-    """Return the view of a group of which nothing was heard yet."""
+    """Return the initial view of a group."""
     return GroupView({name: UpstreamView(name) for name in names})
 
 
@@ -65,7 +65,7 @@
 def apply_status(
     view: GroupView, now_ms: int, status: messages.Status
 ) -> bool:
-    """Take in a status; say whether the term or the primary changed."""
+    """Apply a status; return whether the term or the primary changed."""
     seen = view.upstreams.get(status.upstream)
     if seen is None or status.accepted_term < seen.accepted_term:
         return False
@@ -96,10 +96,11 @@
 def _silence_of_term(
     seen: UpstreamView, now_ms: int, status: messages.Status
 ) -> int:
-    """Return how long a replica heard nothing from the primary of its term.
+    """Return the time without contact to the primary of the replica's term.
 
-    It says how long it heard of none at all. Without this a primary that was
-    made just now, after a second without any, is suspected at once.
+    The replica reports the time without contact to any primary. Without this
+    limit, a primary promoted after a second without one would be suspected
+    at once.
     """
     if seen.term_since_ms is None:
         return status.primary_silent_ms
@@ -115,10 +116,10 @@
 
 
 def add_sample(view: GroupView, sample: log_positions.Sample) -> None:
-    """Remember a sample whose term a majority confirmed after it was sent.
+    """Add a sample whose term a majority confirmed after it was sent.
 
-    Samples can be confirmed out of order; an older one adds nothing that a
-    later, already confirmed one does not say.
+    Samples can be confirmed out of order; one older than the last confirmed
+    sample adds no information and is dropped.
     """
     if view.samples and sample.sent_ms <= view.samples[-1].sent_ms:
         return
@@ -131,10 +132,10 @@
 def staleness_position(
     view: GroupView, now_ms: int, max_staleness_ms: int
 ) -> log_positions.LogPosition | None:
-    """Return the place that a read of that age has to reach.
+    """Return the position that a replica needs for this staleness bound.
 
-    None means that no sample is recent enough: the age of any replica is
-    unknown, which is not the same as fresh.
+    None means that no sample is recent enough. The staleness of the replicas
+    is then unknown, and none of them may serve the read.
     """
     oldest_ms = now_ms - max_staleness_ms
     found = None
--- a/topazring/core/windows.py
+++ b/topazring/core/windows.py
@@ -1,10 +1,11 @@
-"""Limit what an entry has under way at one owner, fairly by organisation.
-
-An owner reads what entries send it in the order of arrival. When it reads
-slower than one organisation's flood arrives, an ordinary organisation's
-request waits behind thousands, ends at its deadline, and the owner looks
-silent: then all that it has is asked for once more at the next owner. So no
-more is sent than it can have in hand, and the rest is refused at once.
+"""Limit an entry's requests in flight to one owner, fairly by organisation.
+
+An owner reads the requests of an entry in the order of arrival. When one
+organisation sends faster than the owner reads, the requests of others wait
+behind thousands and time out, and the owner appears unresponsive: the entry
+then sends all its requests in flight to the next owner as well. Therefore no
+more requests are sent than the owner can handle at a time, and the rest is
+refused at once.
 """
 
 import collections
@@ -12,28 +13,28 @@
 
 __all__ = ['Window', 'has_capacity', 'acquire', 'release']
 
-# The weight of the newest answer in how long answers take.
+# Weight of the newest answer in the moving average of answer times.
 ANSWER_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """Hold what is under way, by organisation."""
+    """Requests in flight to one owner, by organisation."""
 
     limit: int
     in_flight: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     total: int = 0
-    # How long answers take, refusals too.
+    # Moving average of the time until an answer, refusals included.
     mean_answer_ms: float = 0.0
 
 
 def has_capacity(window: Window, organisation: str) -> bool:
-    """Say whether a request may go.
+    """Return whether a request may be sent.
 
-    A full window still admits what is below an equal share, and one of each
-    organisation.
+    A full window still admits organisations below an equal share, and one
+    request of each organisation.
     """
     if window.total < window.limit:
         return True
@@ -43,13 +44,13 @@
 
 
 def acquire(window: Window, organisation: str) -> None:
-    """Count a request that is sent."""
+    """Count a request as in flight."""
     window.in_flight[organisation] += 1
     window.total += 1
 
 
 def release(window: Window, organisation: str, took_ms: int) -> None:
-    """Count a request that was answered or lost after this time."""
+    """Remove a request that was answered or lost after `took_ms`."""
     window.total -= 1
     window.in_flight[organisation] -= 1
     if not window.in_flight[organisation]:
