--- a/topazring/core/tests/oracle.py
+++ b/topazring/core/tests/oracle.py
@@ -1,4 +1,4 @@
-"""Judge every answer by what was promised before it."""
+"""Check every answer against the guarantees given before it."""
 
 import collections
 import dataclasses
@@ -14,12 +14,12 @@
 
 
 class Violation(AssertionError):
-    """Say which promise was broken."""
+    """A guarantee that was violated."""
 
 
 @dataclasses.dataclass
 class Submission:
-    """Hold a submitted request and what the oracle needs to judge it."""
+    """Submitted request, with what the oracle needs to check its answer."""
 
     owner: str
     request: requests.Request
@@ -31,60 +31,61 @@
 
 @dataclasses.dataclass
 class Session:
-    """Hold a session's token and what it has seen or done."""
+    """Token of a session, and the ids of the writes it has seen or done."""
 
     organisation: str
     place: log_positions.LogPosition = log_positions.ORIGIN
     seen: set = dataclasses.field(default_factory=set)
-    # The owner and the number of the transaction that is open, if any.
+    # The owner and the key of the open transaction, if any.
     bound: tuple[str, int] | None = None
 
 
 class Oracle:
-    """Hold what was promised, and to whom."""
+    """Record of all requests and answers."""
 
     def __init__(self, group: dict[str, logs.Log], sessions: list[Session]):
         self.logs = group
         self.sessions = sessions
         self.submissions: dict[tuple[str, int], Submission] = {}
-        # Every write's organisation and id.
+        # The organisation and id of every write.
         self.ids: list[tuple[str, str]] = []
-        self.led: dict[int, str] = {}
-        self.promised: dict[tuple[str, str], int] = {}
-        self.denied: dict[tuple[str, str], Reason] = {}
+        self.leaders: dict[int, str] = {}
+        self.acknowledged: dict[tuple[str, str], int] = {}
+        self.reported_not_run: dict[tuple[str, str], Reason] = {}
         self.copies: collections.Counter = collections.Counter()
-        self.acked_at: list[tuple[int, str, str]] = []
+        self.acknowledged_writes: list[tuple[int, str, str]] = []
         self.counts = {'done': 0, 'not_run': 0, 'unknown': 0, 'lead': 0}
 
     def submitted(
-        self, now: int, name: str, session: int, request: requests.Request
+        self, now_ms: int, name: str, session: int, request: requests.Request
     ) -> None:
-        """Note a request, and what a read has to show at the least."""
-        who = self.sessions[session]
+        """Record a request and the writes that a read has to return."""
+        session_state = self.sessions[session]
         if request.kind in (Kind.WRITE, Kind.COMMIT):
-            copy_of = (who.organisation, request.request_id)
-            self.copies[copy_of] += 1
-            if self.denied.get(copy_of) is not Reason.CANCELLED:
-                self.denied.pop(copy_of, None)
-        oldest_ms = now - request.profile.max_staleness_ms
+            write_key = (session_state.organisation, request.request_id)
+            self.copies[write_key] += 1
+            if self.reported_not_run.get(write_key) is not Reason.CANCELLED:
+                self.reported_not_run.pop(write_key, None)
+        oldest_ms = now_ms - request.profile.max_staleness_ms
         must_see = {
             rid
-            for at_ms, organisation, rid in self.acked_at
-            if organisation == who.organisation and at_ms <= oldest_ms
+            for at_ms, organisation, rid in self.acknowledged_writes
+            if organisation == session_state.organisation
+            and at_ms <= oldest_ms
         }
-        seen = frozenset(must_see | who.seen)
-        asked = Submission(name, request, session, now, seen)
+        seen = frozenset(must_see | session_state.seen)
+        asked = Submission(name, request, session, now_ms, seen)
         self.submissions[(name, request.key)] = asked
 
     def forget(self, name: str) -> None:
-        """Note that an owner's process ended: its callers know nothing."""
+        """Drop the unanswered requests of an owner whose process ended."""
         self.submissions = {
             k: v for k, v in self.submissions.items() if v.owner != name
         }
 
     def record_leader(self, term: int, upstream: str) -> None:
-        """Note that an upstream leads a term, the only one to do so."""
-        known = self.led.setdefault(term, upstream)
+        """Record the primary of a term, which has to be the only one."""
+        known = self.leaders.setdefault(term, upstream)
         if known != upstream:
             raise Violation(f'{known} and {upstream} both lead term {term}')
         self.counts['lead'] += 1
@@ -95,9 +96,9 @@
         return max(leaders, key=lambda log: log.accepted_term, default=None)
 
     def check_promises(self) -> None:
-        """Look for all that was promised in the latest primary's log."""
+        """Check that the latest primary's log agrees with all answers."""
         log = self._leader()
-        if log is None or log.accepted_term != max(self.led):
+        if log is None or log.accepted_term != max(self.leaders):
             return
         held = {}
         for entry in log.entries:
@@ -105,47 +106,49 @@
             if entry.request_id and key in held:
                 raise Violation(f'{key} ran twice')
             held[key] = entry.cancelled
-        for key in self.promised:
+        for key in self.acknowledged:
             if held.get(key, True):
-                raise Violation(f'{key} was promised and is not there')
-        for key in self.denied:
+                raise Violation(f'{key} was acknowledged and is not there')
+        for key in self.reported_not_run:
             if not held.get(key, True):
-                raise Violation(f'{key} was said not to have run')
+                raise Violation(f'{key} was reported as not run, but ran')
 
-    def answered(self, now: int, name: str, out: messages.Answer) -> None:
-        """Judge an answer, which has to be the only one."""
+    def answered(self, now_ms: int, name: str, out: messages.Answer) -> None:
+        """Check an answer, which has to be the only one."""
         asked = self.submissions.get((name, out.key))
         if asked is None or asked.answered:
-            raise Violation(f'{out.key} is answered twice or unasked')
+            raise Violation(
+                f'{out.key} is answered twice or was not submitted'
+            )
         asked.answered = True
         match out.outcome:
             case outcomes.Done():
                 self.counts['done'] += 1
                 if asked.request.kind is Kind.BEGIN:
                     self.sessions[asked.session].bound = (name, out.key)
-                self._judge_done(now, asked, out.outcome)
+                self._check_done(now_ms, asked, out.outcome)
             case outcomes.NotRun():
                 self.counts['not_run'] += 1
                 if asked.request.request_id:
-                    self._deny(asked, out.outcome.reason)
+                    self._record_not_run(asked, out.outcome.reason)
             case outcomes.Unknown():
                 self.counts['unknown'] += 1
         self.check_promises()
 
-    def _deny(self, asked: Submission, reason: Reason) -> None:
-        """Note what was said not to have run.
+    def _record_not_run(self, asked: Submission, reason: Reason) -> None:
+        """Record a request that was reported as not run.
 
-        A cancelled id never runs. Any other refusal speaks of its own copy:
-        of the request only while no other copy was sent.
+        A cancelled id never runs. Any other refusal concerns one copy, and
+        the request as a whole only while no other copy was sent.
         """
         key = (asked.request.organisation, asked.request.request_id)
         if reason is Reason.CANCELLED or self.copies[key] == 1:
-            self.denied[key] = reason
+            self.reported_not_run[key] = reason
         elif asked.request.repeat:
             raise Violation(f'a repeat of {key} was refused as not run')
 
-    def _judge_done(
-        self, now: int, asked: Submission, done: outcomes.Done
+    def _check_done(
+        self, now_ms: int, asked: Submission, done: outcomes.Done
     ) -> None:
         session = self.sessions[asked.session]
         request = asked.request
@@ -154,8 +157,8 @@
         session.place = max(session.place, done.place)
         if request.kind is not Kind.READ:
             key = (request.organisation, request.request_id)
-            self.promised.setdefault(key, now)
-            self.acked_at.append((now, *key))
+            self.acknowledged.setdefault(key, now_ms)
+            self.acknowledged_writes.append((now_ms, *key))
             session.seen.add(request.request_id)
             return
         seen = {row[0] for row in done.rows}
@@ -167,8 +170,8 @@
             )
         known = {r for o, r in self.ids if o == request.organisation}
         if not seen <= known:
-            raise Violation(f'read what is not its own: {seen - known}')
+            raise Violation(f'read rows of others: {seen - known}')
         session.seen |= seen
         for request_id in seen:
             key = (request.organisation, request_id)
-            self.promised.setdefault(key, now)
+            self.acknowledged.setdefault(key, now_ms)
--- a/topazring/core/tests/simulation.py
+++ b/topazring/core/tests/simulation.py
@@ -1,7 +1,8 @@
-"""A small world of owners, upstreams and faults, with its oracle.
+"""Simulation of owners, upstreams and faults, checked by an oracle.
 
-Everything is driven by the caller: what is delivered, lost, late or twice,
-when time passes and who lies. The oracle looks at every answer.
+The caller drives every event: which messages are delivered, lost, late or
+duplicated, when time passes, and which reports are false. The oracle checks
+every answer.
 """
 
 import dataclasses
@@ -35,31 +36,33 @@
 
 @dataclasses.dataclass
 class Delivery:
-    """Hold one message under way, as the call that delivers it."""
+    """Message in transit, as the call that delivers it."""
 
     deliver: object
-    # Posted if the message is lost; None for what may vanish unseen.
+    # Called if the message is lost; None if the loss goes unnoticed.
     lost: object = None
-    # It arrived at a process that does not run just now.
+    # It arrived at a process that is paused.
     arrived: bool = False
 
 
 class Simulation:
-    """Hold all parts; every method is one thing that can happen."""
+    """State of the simulation; each public method is an event."""
 
     def __init__(self, seed: int = 0):
-        self.now = 10_000
+        self.now_ms = 10_000
         self.rng = random.Random(seed)
         self.in_transit: list[Delivery] = []
         self.logs = {name: logs.Log(name) for name in UPSTREAMS}
-        self.heard = dict.fromkeys(UPSTREAMS, self.now)
+        self.primary_contact_ms = dict.fromkeys(UPSTREAMS, self.now_ms)
         self.reports_false_silence = False
         self.paused: set[str] = set()
         self.owners = {name: self._make_owner(name) for name in OWNERS}
         self.incarnations = dict.fromkeys(OWNERS, 0)
         self.record = grants.GroupRecord()
-        self.store = 'up'
-        self.parked: list[tuple[str, messages.RequestStatus, object]] = []
+        self.store_state = 'up'
+        self.waiting_replies: list[
+            tuple[str, messages.RequestStatus, object]
+        ] = []
         self.running: dict[tuple[str, int, int], str] = {}
         self.closed: set[tuple[str, int, int]] = set()
         self.opened: dict[tuple[str, int, int], tuple[str, int]] = {}
@@ -78,18 +81,18 @@
             name, 'calc1', list(UPSTREAMS), limits, random.Random(name)
         )
 
-    # ---- things that happen ----
+    # ---- events ----
 
     def advance(self, ms: int) -> None:
-        """Let time pass; owners that are not paused tick."""
-        self.now += ms
+        """Advance the time; owners that are not paused receive a tick."""
+        self.now_ms += ms
         for name in OWNERS:
             if name not in self.paused:
                 self.post(name, messages.Tick())
-        self._wake_parked()
+        self._send_waiting_replies()
 
     def pause(self, name: str) -> None:
-        """Stop an owner's process, or let it go on, late."""
+        """Pause an owner's process, or resume it with a late timer."""
         if name not in self.paused:
             self.paused.add(name)
             return
@@ -97,12 +100,12 @@
         self.post(name, messages.Tick(self.rng.choice((0, 400))))
 
     def change_owners(self, name: str, count: int) -> None:
-        """Have an owner's list of the owners differ from the others'."""
+        """Give an owner a list of the owners that may differ from others'."""
         order = self.rng.sample(OWNERS, len(OWNERS))
         self.post(name, messages.OwnersChanged(tuple(order[:count])))
 
     def restart(self, name: str) -> None:
-        """Replace an owner's process by one that knows nothing."""
+        """Replace an owner's process by a new one without state."""
         self.incarnations[name] += 1
         self.owners[name] = self._make_owner(name)
         self.paused.discard(name)
@@ -111,32 +114,32 @@
         for session in self.sessions:
             if session.bound and session.bound[0] == name:
                 session.bound = None
-        # Its callers see their connection end: the fate is open.
+        # Its callers lose their connections, so their requests are in doubt.
         self.oracle.forget(name)
         self.post(name, messages.OwnersChanged(OWNERS))
 
     def deliver(self, index: int) -> None:
         """Deliver one message, in any order."""
         if self.in_transit:
-            mail = self.in_transit.pop(index % len(self.in_transit))
-            mail.deliver()
+            delivery = self.in_transit.pop(index % len(self.in_transit))
+            delivery.deliver()
 
     def lose(self, index: int, late: bool) -> None:
-        """Lose one message; or say so while it is still under way."""
+        """Lose one message, or report it lost while it is still in transit."""
         if not self.in_transit:
             return
         index %= len(self.in_transit)
-        mail = self.in_transit[index]
-        if mail.arrived:
+        delivery = self.in_transit[index]
+        if delivery.arrived:
             return
         if not late:
             self.in_transit.pop(index)
-        if mail.lost is not None:
-            lost, mail.lost = mail.lost, None
+        if delivery.lost is not None:
+            lost, delivery.lost = delivery.lost, None
             lost()
 
     def replicate(self, source: str, target: str) -> None:
-        """Send a copy of the log; it may arrive late."""
+        """Send a copy of the log, which may arrive late."""
         log = self.logs[source]
         if not log.leads or source == target:
             return
@@ -144,15 +147,15 @@
 
         def arrive() -> None:
             if term >= self.logs[target].accepted_term:
-                self.heard[target] = self.now
-            # From the start each time: what fits already is passed over.
+                self.primary_contact_ms[target] = self.now_ms
+            # Sent from the start each time; entries that match are skipped.
             logs.extend(self.logs[target], term, log_positions.ORIGIN, entries)
-            self._wake_parked()
+            self._send_waiting_replies()
 
         self.in_transit.append(Delivery(arrive))
 
     def fail_probe(self, name: str, kind: str) -> None:
-        """Have a probe of the primary fail, truly or not."""
+        """Report a failed probe of the primary, which may be false."""
         primary = self.owners[name].view.primary
         if primary:
             self.post(name, messages.ProbeFailed(primary, kind))
@@ -160,14 +163,14 @@
     def submit(
         self, name: str, session: int, profile: int, write: bool
     ) -> None:
-        """Have a session send a read or a write to an owner."""
+        """Send a read or a write of a session to an owner."""
         chosen = PROFILES[profile % len(PROFILES)]
         kind = Kind.WRITE if write else Kind.READ
-        who = self.sessions[session]
+        session_state = self.sessions[session]
         request_id = f'{self.next_key}' if write else ''
         self._submit(name, session, kind, chosen, request_id)
         if write:
-            self.oracle.ids.append((who.organisation, request_id))
+            self.oracle.ids.append((session_state.organisation, request_id))
 
     def transact(self, name: str, number: int, what: int) -> None:
         """Begin a transaction, or take the next step of an open one."""
@@ -191,7 +194,7 @@
         )
 
     def withdraw(self, number: int) -> None:
-        """Have a session end with its transaction open."""
+        """End a session whose transaction is open."""
         session = self.sessions[number]
         if session.bound is not None:
             name, key = session.bound
@@ -199,7 +202,7 @@
             self.post(name, messages.Withdraw(key))
 
     def repeat(self, name: str, index: int, settle: bool) -> None:
-        """Have a caller or an entry send an old write once more."""
+        """Send an old write again, as a caller or an entry would."""
         if not self.oracle.ids:
             return
         organisation, request_id = self.oracle.ids[
@@ -222,7 +225,7 @@
         repeat=False,
         transaction=0,
     ) -> None:
-        who = self.sessions[session]
+        session_state = self.sessions[session]
         key = self.next_key
         self.next_key += 1
         deadline_ms = profile.write_deadline_ms
@@ -231,28 +234,28 @@
         request = requests.Request(
             key,
             kind,
-            who.organisation,
+            session_state.organisation,
             profile,
-            self.now + deadline_ms,
+            self.now_ms + deadline_ms,
             (),
             request_id,
-            who.place,
+            session_state.place,
             transaction,
             repeat,
         )
-        self.oracle.submitted(self.now, name, session, request)
+        self.oracle.submitted(self.now_ms, name, session, request)
         self.post(name, messages.Submit(request))
 
-    # ---- what owners do ----
+    # ---- actions of owners ----
 
     def post(self, name: str, message: object) -> None:
-        """Give an owner a message and do what it says."""
+        """Send an owner a message and perform the actions it returns."""
         if name in self.paused and not isinstance(message, messages.Tick):
-            mail = Delivery(self._poster(name, message), arrived=True)
-            self.in_transit.append(mail)
+            delivery = Delivery(self._make_post(name, message), arrived=True)
+            self.in_transit.append(delivery)
             return
         state = self.owners[name]
-        for out in owner.step(state, self.now, message):
+        for out in owner.step(state, self.now_ms, message):
             self._perform(name, out)
         for upstream, count in state.in_flight.items():
             if not 0 <= count <= SLOTS:
@@ -266,11 +269,11 @@
             case messages.Execute():
                 self._execute(name, out)
             case messages.Answer():
-                self.oracle.answered(self.now, name, out)
+                self.oracle.answered(self.now_ms, name, out)
             case messages.RequestStatus():
-                mail = Delivery(lambda: self._ask(name, out))
-                mail.lost = self._loser(name, out.upstream)
-                self.in_transit.append(mail)
+                delivery = Delivery(lambda: self._request_status(name, out))
+                delivery.lost = self._make_loss_report(name, out.upstream)
+                self.in_transit.append(delivery)
             case messages.Fence() | messages.Lead():
                 claimant = f'{name}{self.incarnations[name]}'
                 self.in_transit.append(
@@ -282,16 +285,16 @@
             case messages.SendSuspicion():
                 for peer in OWNERS:
                     if peer != name:
-                        word = messages.PeerSuspicion(
+                        suspicion = messages.PeerSuspicion(
                             name, out.term, out.suspects
                         )
                         self.in_transit.append(
-                            Delivery(self._poster(peer, word))
+                            Delivery(self._make_post(peer, suspicion))
                         )
             case messages.RequestGrants():
                 self._grant(name, out.above_term)
 
-    def _poster(self, name: str, message: object):
+    def _make_post(self, name: str, message: object):
         incarnation = self.incarnations[name]
 
         def deliver() -> None:
@@ -300,20 +303,20 @@
 
         return deliver
 
-    def _loser(self, name: str, upstream: str):
-        return self._poster(name, messages.ProbeFailed(upstream, 'silent'))
+    def _make_loss_report(self, name: str, upstream: str):
+        return self._make_post(name, messages.ProbeFailed(upstream, 'silent'))
 
     def _grant(self, name: str, above: int) -> None:
-        """Compare and swap; the answer may be lost after the effect."""
-        if self.store == 'down':
+        """Grant terms by compare and swap; the answer may be lost."""
+        if self.store_state == 'down':
             return
         claimant = f'{name}{self.incarnations[name]}'
         self.record = grants.grant_terms(self.record, claimant, above, 3, 'x')
-        if self.store == 'lossy' and self.rng.random() < 0.5:
+        if self.store_state == 'lossy' and self.rng.random() < 0.5:
             return
         terms = grants.terms_of(self.record, claimant)
         self.in_transit.append(
-            Delivery(self._poster(name, messages.GrantsReceived(terms)))
+            Delivery(self._make_post(name, messages.GrantsReceived(terms)))
         )
 
     def _execute(self, name: str, out: messages.Execute) -> None:
@@ -334,8 +337,8 @@
         transaction = (name, incarnation, out.request.transaction or out.key)
 
         def lost() -> None:
-            # The connection is closed, and with it what was open on it; a
-            # commit that is under way may still be read by the upstream.
+            # The connection is closed, and with it its transaction; a commit
+            # in transit may still be read by the upstream.
             if out.kind in (Kind.COMMIT, Kind.ROLLBACK):
                 self.closed.add(transaction)
             elif out.kind is Kind.BEGIN:
@@ -352,7 +355,7 @@
 
     def _status(self, name: str) -> messages.Status:
         log = self.logs[name]
-        silent_ms = self.now - self.heard[name]
+        silent_ms = self.now_ms - self.primary_contact_ms[name]
         if self.reports_false_silence:
             silent_ms = 10_000
         return messages.Status(
@@ -366,7 +369,7 @@
     def _run(
         self, name: str, incarnation: int, out: messages.Execute
     ) -> object:
-        """Do as the stand-in does, on a log without SQL."""
+        """Run a request like the stand-in upstream, on a log without SQL."""
         log = self.logs[out.upstream]
         request = out.request
         if out.at_replica:
@@ -397,13 +400,13 @@
                 cancelled,
             ),
         )
-        self._wake_parked()
+        self._send_waiting_replies()
         return self._ran(log, False, cancelled)
 
     def _run_in_transaction(
         self, name: str, incarnation: int, out: messages.Execute
     ) -> messages.Refused | None:
-        """Keep to the connection that the transaction began on."""
+        """Check that a transaction stays on the connection it began on."""
         key = (name, incarnation, out.request.transaction or out.key)
         opened = (out.upstream, out.term)
         if out.kind is Kind.BEGIN:
@@ -414,7 +417,7 @@
             return messages.Refused(Reason.TRANSACTION_LOST)
         if known != opened:
             raise oracles.Violation(
-                f'{key} began on {known}, goes on on {opened}'
+                f'{key} began on {known}, continues on {opened}'
             )
         if out.kind is not Kind.EXECUTE:
             del self.opened[key]
@@ -430,15 +433,17 @@
             log.leads,
         )
 
-    def _ask(self, name: str, out: messages.RequestStatus) -> None:
-        reply = self._replier(name, out)
-        if self._held(out):
+    def _request_status(self, name: str, out: messages.RequestStatus) -> None:
+        reply = self._make_reply(name, out)
+        if self._is_conclusive(out):
             reply()
         else:
-            self.parked.append((self.now + out.wait_ms, out, reply))
+            self.waiting_replies.append(
+                (self.now_ms + out.wait_ms, out, reply)
+            )
 
-    def _replier(self, name: str, out: messages.RequestStatus):
-        sent_ms = self.now
+    def _make_reply(self, name: str, out: messages.RequestStatus):
+        sent_ms = self.now_ms
         incarnation = self.incarnations[name]
 
         def reply() -> None:
@@ -447,13 +452,13 @@
             seen = messages.StatusReceived(
                 self._status(out.upstream), out.round_id, sent_ms
             )
-            mail = Delivery(self._poster(name, seen))
-            mail.lost = self._loser(name, out.upstream)
-            self.in_transit.append(mail)
+            delivery = Delivery(self._make_post(name, seen))
+            delivery.lost = self._make_loss_report(name, out.upstream)
+            self.in_transit.append(delivery)
 
         return reply
 
-    def _held(self, out: messages.RequestStatus) -> bool:
+    def _is_conclusive(self, out: messages.RequestStatus) -> bool:
         log = self.logs[out.upstream]
         last = logs.last_place(log)
         return (
@@ -462,13 +467,13 @@
             or (last.log_term == out.term and last >= out.place)
         )
 
-    def _wake_parked(self) -> None:
-        parked, self.parked = self.parked, []
-        for until, out, reply in parked:
-            if self._held(out) or self.now >= until:
+    def _send_waiting_replies(self) -> None:
+        waiting_replies, self.waiting_replies = self.waiting_replies, []
+        for until, out, reply in waiting_replies:
+            if self._is_conclusive(out) or self.now_ms >= until:
                 reply()
             else:
-                self.parked.append((until, out, reply))
+                self.waiting_replies.append((until, out, reply))
 
     def _promote(self, name: str, claimant: str, out: object) -> None:
         log = self.logs[out.upstream]
@@ -481,11 +486,11 @@
             if accepted:
                 self.oracle.record_leader(out.term, out.upstream)
         reply = make(out.term, accepted, self._status(out.upstream))
-        self.in_transit.append(Delivery(self._poster(name, reply)))
-        self._wake_parked()
+        self.in_transit.append(Delivery(self._make_post(name, reply)))
+        self._send_waiting_replies()
 
     def run_without_faults(self, rounds: int) -> None:
-        """Let everything work as it should for a while."""
+        """Run for a while without any faults."""
         for _ in range(rounds):
             for _ in range(len(self.in_transit)):
                 self.deliver(0)
@@ -495,9 +500,9 @@
             self.advance(25)
 
     def heal_and_check(self) -> None:
-        """Heal everything; then every request has to have its answer."""
+        """End all faults and check that every request is answered."""
         self.reports_false_silence = False
-        self.store = 'up'
+        self.store_state = 'up'
         for name in list(self.paused):
             self.pause(name)
         for name in OWNERS:
@@ -514,7 +519,7 @@
             if current and transaction not in self.owners[name].transactions:
                 raise oracles.Violation(f'{key} was left open')
         if not any(log.leads for log in self.logs.values()):
-            raise oracles.Violation('no primary after all healed')
+            raise oracles.Violation('no primary after all faults ended')
         self.oracle.check_promises()
 
 
--- a/topazring/core/tests/test_forwarding.py
+++ b/topazring/core/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The entry's plan: every order of losses and answers ends in the truth."""
+"""Tests of the entry's plan for any order of losses and answers."""
 
 import itertools
 
@@ -16,12 +16,12 @@
 DONE = outcomes.Done([], log_positions.LogPosition(1, 1))
 SENT = messages.ConnectionLost(Reason.OWNER_LOST, True)
 UNSENT = messages.ConnectionLost(Reason.OWNER_LOST, False)
-CANNOT = outcomes.NotRun(Reason.NO_PRIMARY, 100)
+UNAVAILABLE = outcomes.NotRun(Reason.NO_PRIMARY, 100)
 CANCELLED = outcomes.NotRun(Reason.CANCELLED, 50)
 
 
 def run(kind, answers, repeatable=False, bound='', repeat=False):
-    """Play answers in order; return the steps and the final outcome."""
+    """Feed answers in order; return the steps and the final outcome."""
     plan = forwarding.make_plan(kind, repeatable, 10_000, bound, repeat)
     steps = []
     now_ms = 0
@@ -42,16 +42,16 @@
 
 
 class TestForwarding(testtools.TestCase):
-    """Never say not run of what may have run."""
+    """A request that may have run is never reported as not run."""
 
-    def test_every_order(self):
-        """Symptom: a save is called not run, and is there.
+    def test_no_sequence_misreports_not_run(self):
+        """A write is reported as not run although it ran.
 
-        Sequence: any mix of owners that are lost before or after the
-        request was sent, that cannot, and that answer. Cause: a refusal by
-        the second owner taken for the fate of the first one's copy.
+        This happens if a refusal by the second owner is taken as the outcome
+        of the copy sent to the first one. Covers all sequences of owners that
+        are lost before or after sending, or unable to serve the request.
         """
-        answers = (SENT, UNSENT, CANNOT)
+        answers = (SENT, UNSENT, UNAVAILABLE)
         for count in range(4):
             for sequence in itertools.product(answers, repeat=count):
                 for kind in (Kind.WRITE, Kind.READ):
@@ -63,17 +63,17 @@
                             )
 
     def test_refusal_of_a_second_copy(self):
-        """Symptom: a save is called not run, and is there.
+        """A write is reported as not run although it ran.
 
-        Sequence: a repeatable write is lost on its way back from the first
-        owner; the second owner refuses its copy, which it takes for the
-        only one. Cause: that refusal passed on as the write's fate.
+        The answer to a repeatable write is lost on its way from the first
+        owner, and the second owner refuses its copy, which it takes for the
+        only one. That refusal is passed on as the outcome of the write.
         """
         refused = outcomes.NotRun(Reason.OVERLOAD, 100)
         _, outcome = run(Kind.WRITE, [SENT, refused], repeatable=True)
         self.assertEqual(outcomes.Unknown(Reason.OVERLOAD), outcome)
 
-    def test_open_fate_is_settled_unless_repeatable(self):
+    def test_write_in_doubt_is_settled_unless_repeatable(self):
         steps, outcome = run(Kind.WRITE, [SENT, CANCELLED])
         self.assertEqual([False, True], [s.settle for s in steps])
         self.assertEqual(['a', 'b'], [s.owner for s in steps])
@@ -83,13 +83,13 @@
         self.assertEqual(DONE, outcome)
 
     def test_owner_that_cannot_reach_the_primary(self):
-        steps, outcome = run(Kind.WRITE, [CANNOT, DONE])
+        steps, outcome = run(Kind.WRITE, [UNAVAILABLE, DONE])
         self.assertEqual(['a', 'b'], [s.owner for s in steps])
         self.assertEqual(DONE, outcome)
-        _, outcome = run(Kind.WRITE, [CANNOT, CANNOT])
-        self.assertEqual(CANNOT, outcome)
+        _, outcome = run(Kind.WRITE, [UNAVAILABLE, UNAVAILABLE])
+        self.assertEqual(UNAVAILABLE, outcome)
 
-    def test_unknown_of_one_owner_is_asked_of_the_other(self):
+    def test_unknown_of_one_owner_is_settled_at_the_other(self):
         unknown = outcomes.Unknown(Reason.NO_PRIMARY)
         steps, outcome = run(Kind.WRITE, [unknown, DONE])
         self.assertEqual([False, True], [s.settle for s in steps])
--- a/topazring/core/tests/test_groups.py
+++ b/topazring/core/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Choose a kind of group by its name."""
+"""Tests of the registry of group kinds."""
 
 import testtools
 
@@ -10,8 +10,8 @@
 class GroupsTest(testtools.TestCase):
     """Both kinds are registered, each with its own step."""
 
-    def test_kinds(self):
-        """A name leads to a step."""
+    def test_registered_kinds(self):
+        """Each name returns the step registered for it."""
         for name, step in (
             (owner.MAJORITY, owner.step),
             (group.SYNCHRONOUS, group.step),
@@ -20,5 +20,5 @@
             self.assertIn(name, groups.kind_names())
 
     def test_unknown_kind(self):
-        """There is none of that name."""
+        """An unknown name raises KeyError."""
         self.assertRaises(KeyError, groups.group_kind, 'other')
--- a/topazring/core/tests/test_limits.py
+++ b/topazring/core/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Queues, budgets, suspicion and tokens, each by itself."""
+"""Unit tests of admission queues, retry budgets, suspicion and tokens."""
 
 import testtools
 
@@ -12,7 +12,7 @@
 
 
 class TestAdmission(testtools.TestCase):
-    """Organisations take turns; in a line the first deadline is first."""
+    """Organisations are served in turn, each by earliest deadline first."""
 
     def setUp(self):
         super().setUp()
@@ -30,7 +30,7 @@
         admission.push(self.queue, 'other', 500, 90)
         self.assertEqual([4, 90, 3, 2, 1, 0], self.pop_all())
 
-    def test_full_queue_takes_from_the_longest_line(self):
+    def test_full_queue_evicts_from_the_longest_queue(self):
         for key in range(11):
             admission.push(self.queue, 'flood', key, key)
         self.assertIsNone(admission.push(self.queue, 'other', 999, 90))
@@ -38,7 +38,7 @@
         self.assertEqual(10, evicted)
         self.assertEqual(12, admission.size(self.queue))
 
-    def test_removed_requests_do_not_come_up(self):
+    def test_removed_requests_are_not_popped(self):
         for key in range(4):
             admission.push(self.queue, 'a', key, key)
         admission.remove(self.queue, 'a', 2)
@@ -46,18 +46,18 @@
         self.assertEqual([0, 1, 3], self.pop_all())
         self.assertEqual(0, admission.size(self.queue))
 
-    def test_short_line_does_not_wait_for_a_long_one(self):
+    def test_short_queue_does_not_wait_for_a_long_one(self):
         for key in range(10):
             admission.push(self.queue, 'flood', key, key)
         long = admission.estimate_wait_ms(self.queue, 'flood', 1, 5.0)
         short = admission.estimate_wait_ms(self.queue, 'other', 1, 5.0)
         self.assertEqual((50.0, 5.0), (long, short))
 
-    def test_long_line_waits_for_others_yet_to_come(self):
-        """Symptom: writes of a flood begin too late and end in doubt.
+    def test_long_queue_waits_for_later_requests_of_others(self):
+        """Writes of a flooding organisation start too late and end in doubt.
 
-        Sequence: one line is long, others are short but always refilled.
-        Cause: only the work that waits now was counted.
+        One queue is long, the others are short but refilled constantly, and
+        the estimate counts only the requests that wait now.
         """
         for key in range(8):
             admission.push(self.queue, 'flood', key, key)
@@ -68,7 +68,7 @@
 
 
 class TestRetries(testtools.TestCase):
-    """Retries stay a tenth of the successes."""
+    """Retries stay below a tenth of the successes."""
 
     def test_budget(self):
         budget = retries.Budget()
@@ -84,16 +84,16 @@
 
 
 class TestSuspicion(testtools.TestCase):
-    """Tell a lost primary from a lost link and from a pause of our own."""
+    """A lost primary is distinguished from a lost link and a local pause."""
 
     def setUp(self):
         super().setUp()
         self.evidence = suspicion.Evidence()
         self.view = views.make_view(['u1', 'u2', 'u3'])
-        self.see('u1', leads=True)
+        self.observe('u1', leads=True)
         self.replicas(50)
 
-    def see(self, name, leads=False, silent_ms=0, now_ms=1000):
+    def observe(self, name, leads=False, silent_ms=0, now_ms=1000):
         status = messages.Status(
             name, 1, leads, log_positions.LogPosition(1, 1), silent_ms
         )
@@ -101,51 +101,51 @@
 
     def replicas(self, silent_ms, now_ms=1000):
         for name in ('u2', 'u3'):
-            self.see(name, silent_ms=silent_ms, now_ms=now_ms)
+            self.observe(name, silent_ms=silent_ms, now_ms=now_ms)
 
     def judge(self, now_ms=1000):
         return suspicion.judge(self.evidence, self.view, now_ms)[0]
 
-    def test_alive(self):
+    def test_answering_primary_is_alive(self):
         self.assertEqual(suspicion.Verdict.ALIVE, self.judge())
 
-    def test_killed(self):
+    def test_primary_that_refuses_connections_is_suspected(self):
         for _ in range(2):
             suspicion.note_failure(self.evidence, 1000, 'refused')
         self.replicas(600)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge())
 
-    def test_only_our_link_is_cut(self):
-        """Symptom: a promotion because one proxy lost its network.
+    def test_only_the_local_link_is_cut(self):
+        """A proxy that loses its network starts a promotion.
 
-        Sequence: new connections of one owner go silent; replicas hear
-        from the primary all the time. Cause: its own silence taken for the
-        primary's.
+        New connections of one owner time out while the replicas have contact
+        to the primary all the time. The owner's own timeouts are taken as a
+        failure of the primary.
         """
         suspicion.note_failure(self.evidence, 1000, 'silent_new')
         self.assertEqual(suspicion.Verdict.LOCAL_FAILURE, self.judge())
 
-    def test_silence_of_an_old_connection_says_nothing(self):
+    def test_timeout_on_an_old_connection_is_ignored(self):
         suspicion.note_failure(self.evidence, 1000, 'silent')
         self.replicas(600)
         self.assertEqual(suspicion.Verdict.ALIVE, self.judge())
 
-    def test_cut_off_from_its_replicas(self):
+    def test_primary_isolated_from_its_replicas_is_suspected(self):
         self.replicas(suspicion.ISOLATED_PRIMARY_SILENCE_MS)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge())
 
     def test_own_pause_discounts_silence(self):
-        """Symptom: a proxy that was stopped for a second starts a failover.
+        """A proxy that was stopped for a second starts a failover.
 
-        Sequence: it wakes, and all its probes are overdue. Cause: time in
-        which it did not run counts as the primary's silence.
+        When it resumes, all its probes are overdue, and the time in which it
+        did not run is counted as silence of the primary.
         """
         suspicion.note_failure(self.evidence, 1000, 'silent_new')
         self.replicas(600)
         suspicion.note_pause(self.evidence, 1000, suspicion.PAUSE_MS)
         self.assertEqual(suspicion.Verdict.UNKNOWN, self.judge())
 
-    def test_old_words_of_replicas_do_not_count(self):
+    def test_outdated_replica_statuses_are_ignored(self):
         for _ in range(2):
             suspicion.note_failure(self.evidence, 1000, 'refused')
         self.replicas(600)
@@ -154,7 +154,7 @@
 
 
 class TestTokens(testtools.TestCase):
-    """A forged or foreign token is refused."""
+    """A forged token, or one of another database, is refused."""
 
     def setUp(self):
         super().setUp()
--- a/topazring/core/tests/test_members.py
+++ b/topazring/core/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership from a lagging list and from what peers saw."""
+"""Tests of membership from a lagging list and from peers' reports."""
 
 import testtools
 
@@ -13,9 +13,9 @@
 
 
 class TestMembers(testtools.TestCase):
-    """An incarnation that left never comes back; its successor does."""
+    """A departed incarnation never returns, a new one of its name does."""
 
-    def test_stale_list(self):
+    def test_stale_list_does_not_restore_a_departed_member(self):
         state = members.Members()
         members.apply_list(state, [member('p1'), member('p2')])
         self.assertTrue(members.record_departure(state, 'p2', 'p2-1'))
@@ -24,19 +24,19 @@
         members.apply_list(state, [member('p1'), member('p2', '2')])
         self.assertEqual({'p1', 'p2'}, set(state.listed))
 
-    def test_replaced_incarnation_stays_gone(self):
+    def test_replaced_incarnation_does_not_return(self):
         state = members.Members()
         members.apply_list(state, [member('p1')])
         members.apply_list(state, [member('p1', '2')])
         members.apply_list(state, [member('p1')])
         self.assertEqual({}, state.listed)
 
-    def test_word_of_leaving_is_news_once(self):
+    def test_departure_is_new_only_once(self):
         state = members.Members()
         self.assertTrue(members.record_departure(state, 'p1', 'p1-1'))
         self.assertFalse(members.record_departure(state, 'p1', 'p1-1'))
 
-    def test_failed_peer_is_passed_over_for_a_while(self):
+    def test_failed_peer_is_avoided_temporarily(self):
         state = members.Members()
         members.record_failure(state, 'p1', 1000)
         self.assertFalse(members.is_reachable(state, 'p1', 1500))
@@ -52,7 +52,7 @@
 
 
 class TestHashing(testtools.TestCase):
-    """Owners move only when they have to, and spread out."""
+    """Owners move only if necessary, and are spread evenly."""
 
     def candidates(self, count):
         return [
@@ -61,29 +61,29 @@
         ]
 
     def test_owners_are_in_two_data_centres(self):
-        everyone = self.candidates(30)
-        centre = {c.name: c.data_centre for c in everyone}
+        candidates = self.candidates(30)
+        centre = {c.name: c.data_centre for c in candidates}
         for number in range(200):
             first, second = hashing.choose_owners(
-                f'd{number}', 'home', everyone, 2
+                f'd{number}', 'home', candidates, 2
             )
             self.assertNotEqual(centre[first], centre[second])
 
-    def test_one_departure_moves_only_its_own(self):
-        everyone = self.candidates(30)
-        rest = everyone[1:]
+    def test_departure_moves_only_its_own_databases(self):
+        candidates = self.candidates(30)
+        rest = candidates[1:]
         for number in range(300):
             name = f'd{number}'
-            before = hashing.choose_owners(name, 'home', everyone, 2)
+            before = hashing.choose_owners(name, 'home', candidates, 2)
             after = hashing.choose_owners(name, 'home', rest, 2)
             if 'p0' not in before:
                 self.assertEqual(before, after)
 
-    def test_load_is_even_enough(self):
+    def test_load_is_roughly_even(self):
         counts = {}
-        everyone = self.candidates(50)
+        candidates = self.candidates(50)
         for number in range(3000):
-            owners = hashing.choose_owners(f'd{number}', 'home', everyone, 2)
+            owners = hashing.choose_owners(f'd{number}', 'home', candidates, 2)
             for name in owners:
                 counts[name] = counts.get(name, 0) + 1
         self.assertLess(max(counts.values()), 2 * 6000 / 50)
--- a/topazring/core/tests/test_placement.py
+++ b/topazring/core/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The kept owners are those that working them out anew gives."""
+"""Incrementally maintained owners equal owners computed from scratch."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class TestPlacement(testtools.TestCase):
-    """Follow joins and departures without drifting."""
+    """The owners stay exact over joins and departures."""
 
     def setUp(self):
         super().setUp()
@@ -26,14 +26,14 @@
             f'p{number}', f'r{number % 3}', f'c{number % 9}'
         )
 
-    def expect(self, name, candidates):
+    def compute_owners(self, name, candidates):
         return hashing.choose_owners(name, self.databases[name], candidates, 2)
 
     def test_joins_and_departures(self):
-        """Symptom: two proxies disagree for good on who owns a database.
+        """Two proxies disagree permanently on the owners of a database.
 
-        Sequence: many joins and departures in differing batches. Cause:
-        kept candidates that miss one that a fresh look would find.
+        After many joins and departures in differing batches, the cached
+        candidates lack one that a full computation would find.
         """
         present = set(range(40))
         for _ in range(60):
@@ -43,7 +43,7 @@
             placements.set_candidates(self.placement, candidates)
             for name in self.databases:
                 self.assertEqual(
-                    self.expect(name, candidates),
+                    self.compute_owners(name, candidates),
                     placements.owners_of(self.placement, name),
                 )
 
@@ -51,7 +51,7 @@
         others = [self.candidate(n) for n in (1, 2, 4, 5)]
         placements.set_candidates(self.placement, others)
         self.assertEqual(
-            self.expect('d0', others),
+            self.compute_owners('d0', others),
             placements.owners_of(self.placement, 'd0'),
         )
         own = self.candidate(0)
@@ -59,7 +59,7 @@
         self.assertIn('d0', changed)
         self.assertEqual(('p0',), placements.owners_of(self.placement, 'd0'))
 
-    def test_only_what_changes_hands_is_named(self):
+    def test_only_databases_with_changed_owners_are_returned(self):
         candidates = [self.candidate(n) for n in range(30)]
         placements.set_candidates(self.placement, candidates)
         before = {
--- a/topazring/core/tests/test_revisions.py
+++ b/topazring/core/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Fuzz the spreading of revisions against the sequence that was accepted."""
+"""Fuzz tests of the replication of revisions between proxies."""
 
 import hypothesis
 from hypothesis import stateful
@@ -13,14 +13,14 @@
 
 
 class SpreadMachine(stateful.RuleBasedStateMachine):
-    """Four proxies, one service, losses, delays, restarts, outages."""
+    """Four proxies and a service with losses, delays, restarts, outages."""
 
     def __init__(self):
         super().__init__()
         self.service = revisions.Revisions()
         self.history = {}
         self.proxies = [revisions.Revisions() for _ in range(4)]
-        self.under_way = []
+        self.in_transit = []
         self.down = False
 
     @stateful.rule(
@@ -28,7 +28,7 @@
         deleted=strategies.booleans(),
     )
     def accept(self, keys, deleted):
-        """Have operators' changes accepted by the service."""
+        """Apply operators' changes at the service."""
         for key in keys:
             revision = self.service.seen + 1
             value = None if deleted else f'{key}{revision}'
@@ -40,7 +40,7 @@
 
     @stateful.rule(proxy=PROXIES, late=strategies.booleans())
     def watch(self, proxy, late):
-        """Have a proxy ask the service; the answer may be late."""
+        """Send a proxy the changes of the service, possibly late."""
         if not self.down:
             since = self.proxies[proxy].seen
             self.send(self.service, proxy, since, late)
@@ -52,26 +52,26 @@
         late=strategies.booleans(),
     )
     def gossip(self, source, proxy, since, late):
-        """Send a delta that may reach back or start too late."""
+        """Send a delta that may overlap with known changes or leave a gap."""
         since = min(since, self.proxies[source].seen)
         self.send(self.proxies[source], proxy, since, late)
 
     def send(self, source, proxy, since, late):
-        """Put a delta under way, and deliver it unless it is late."""
+        """Send a delta; deliver it at once unless it is late."""
         upto, changes = revisions.delta(source, since)
-        self.under_way.append((proxy, since, upto, changes))
+        self.in_transit.append((proxy, since, upto, changes))
         if not late:
-            self.deliver(len(self.under_way) - 1, False)
+            self.deliver(len(self.in_transit) - 1, False)
 
     @stateful.rule(index=INDEX, kept=strategies.booleans())
     def deliver(self, index, kept):
-        """Deliver in any order, perhaps once more later."""
-        if not self.under_way:
+        """Deliver a delta in any order, possibly several times."""
+        if not self.in_transit:
             return
-        index %= len(self.under_way)
-        proxy, since, upto, changes = self.under_way[index]
+        index %= len(self.in_transit)
+        proxy, since, upto, changes = self.in_transit[index]
         if not kept:
-            del self.under_way[index]
+            del self.in_transit[index]
         before = self.proxies[proxy].seen
         revisions.merge(self.proxies[proxy], since, upto, changes)
         assert self.proxies[proxy].seen >= before, 'went back'
@@ -79,12 +79,12 @@
     @stateful.rule(index=INDEX)
     def lose(self, index):
         """Lose a message."""
-        if self.under_way:
-            del self.under_way[index % len(self.under_way)]
+        if self.in_transit:
+            del self.in_transit[index % len(self.in_transit)]
 
     @stateful.rule(proxy=PROXIES, chance=INDEX)
     def fault(self, proxy, chance):
-        """Now and then replace a proxy, or take the service away."""
+        """Restart a proxy, or begin or end an outage of the service."""
         if chance < 20:
             self.proxies[proxy] = revisions.Revisions()
         elif chance < 40:
@@ -92,7 +92,7 @@
 
     @stateful.invariant()
     def each_is_a_state_that_was(self):
-        """A proxy at `seen` has exactly what was accepted by then."""
+        """A proxy at `seen` has all changes accepted up to that revision."""
         for proxy in self.proxies:
             expected = {}
             for revision in range(1, proxy.seen + 1):
@@ -105,7 +105,7 @@
 
 
 class TestRevisions(testtools.TestCase):
-    """Nothing is skipped and nothing goes back."""
+    """No change is skipped and no value reverts to an older one."""
 
     def test_stateful(self):
         settings = hypothesis.settings(
@@ -119,10 +119,10 @@
         stateful.run_state_machine_as_test(SpreadMachine, settings=settings)
 
     def test_gap_is_not_hidden(self):
-        """Symptom: one proxy serves by an old profile for good.
+        """A proxy uses an outdated profile permanently.
 
-        Sequence: a delta is lost, the next one arrives. Cause: taking it
-        moves the proxy past what it lacks, so nobody sends that again.
+        A delta is lost and the next one arrives. Applying that one would
+        move the proxy past the lost changes, which are then never sent again.
         """
         state = revisions.Revisions(seen=3)
         change = revisions.Change('a', 7, 'x')
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds that confirm, and those that must not."""
+"""Tests of confirmation rounds."""
 
 import random
 
@@ -10,7 +10,7 @@
 from topazring.core import rounds
 from topazring.core import state as states
 
-Place = log_positions.LogPosition
+LogPosition = log_positions.LogPosition
 
 
 def status(upstream, term, place, leads=False):
@@ -18,97 +18,98 @@
 
 
 class TestRounds(testtools.TestCase):
-    """Confirm only what a majority holds under the round's term."""
+    """A round confirms only what a majority holds under its term."""
 
     def setUp(self):
         super().setUp()
         self.state = rounds.Rounds(term=2)
 
-    def ask(self, now_ms=0):
+    def start_round(self, now_ms=0):
         return rounds.start_round(self.state, now_ms, ['u2', 'u3'])
 
     def test_one_replica_of_three_confirms(self):
-        rounds.add_waiter(self.state, 7, Place(2, 5), 0)
-        asks = self.ask()
-        self.assertEqual({'u2', 'u3'}, {ask.upstream for ask in asks})
-        reply = status('u2', 2, Place(2, 5))
-        found = rounds.note_status(self.state, asks[0].round_id, reply, 2)
+        rounds.add_waiter(self.state, 7, LogPosition(2, 5), 0)
+        requests = self.start_round()
+        self.assertEqual(
+            {'u2', 'u3'}, {request.upstream for request in requests}
+        )
+        reply = status('u2', 2, LogPosition(2, 5))
+        found = rounds.note_status(self.state, requests[0].round_id, reply, 2)
         self.assertEqual([7], [waiter.key for waiter in found])
 
     def test_round_from_before_the_read(self):
-        """A stale read at a primary that was replaced.
-
-        Symptom: a strict read misses an acknowledged write. Sequence: a
-        round begins; its status is sent by a replica that still holds to
-        the old term; that replica is fenced, a new primary promoted and a
-        write acknowledged; the old primary, which the fence did not reach,
-        serves the read; the old status arrives. Cause: the status says
-        nothing about the time after the read.
+        """A strict read at a replaced primary misses an acknowledged write.
+
+        A round begins, and a replica that is still at the old term sends its
+        status. Then the replica is fenced, a new primary is promoted and a
+        write is acknowledged. The old primary, which the fence did not reach,
+        serves the read, and the old status arrives. It must not confirm the
+        read, since it says nothing about the time after it.
         """
-        rounds.add_waiter(self.state, 1, Place(2, 5), 0)
-        asks = self.ask()
-        rounds.add_waiter(self.state, 2, Place(2, 5), 10)
-        reply = status('u2', 2, Place(2, 5))
-        found = rounds.note_status(self.state, asks[0].round_id, reply, 2)
+        rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
+        requests = self.start_round()
+        rounds.add_waiter(self.state, 2, LogPosition(2, 5), 10)
+        reply = status('u2', 2, LogPosition(2, 5))
+        found = rounds.note_status(self.state, requests[0].round_id, reply, 2)
         self.assertEqual([1], [waiter.key for waiter in found])
         self.assertIn(2, self.state.waiters)
 
     def test_longer_tail_of_an_older_term(self):
-        """A write acknowledged that only the primary holds.
+        """A write that only the primary holds is acknowledged.
 
-        Symptom: a save is gone after the next promotion. Sequence: a
-        replica holds a long tail of a replaced primary, accepts the new
-        term, and reports before the new primary has cut its log back.
-        Cause: its position is past the save's, in another log.
+        It is lost at the next promotion. A replica has a long tail of a
+        replaced primary's log, accepts the new term, and reports its status
+        before the new primary has truncated its log. Its position is past
+        the write's, but in another log.
         """
-        rounds.add_waiter(self.state, 1, Place(2, 5), 0)
-        asks = self.ask()
-        reply = status('u2', 2, Place(1, 900))
-        found = rounds.note_status(self.state, asks[0].round_id, reply, 2)
+        rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
+        requests = self.start_round()
+        reply = status('u2', 2, LogPosition(1, 900))
+        found = rounds.note_status(self.state, requests[0].round_id, reply, 2)
         self.assertEqual([], found)
 
     def test_higher_term_does_not_confirm(self):
-        rounds.add_waiter(self.state, 1, Place(2, 5), 0)
-        asks = self.ask()
-        reply = status('u2', 3, Place(2, 5))
-        found = rounds.note_status(self.state, asks[0].round_id, reply, 2)
+        rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
+        requests = self.start_round()
+        reply = status('u2', 3, LogPosition(2, 5))
+        found = rounds.note_status(self.state, requests[0].round_id, reply, 2)
         self.assertEqual([], found)
 
-    def test_one_round_serves_all_that_wait(self):
+    def test_one_round_serves_all_waiters(self):
         for key in range(50):
-            rounds.add_waiter(self.state, key, Place(2, key + 1), 0)
-        asks = self.ask()
-        self.assertEqual(2, len(asks))
-        self.assertEqual(Place(2, 50), asks[0].place)
-        self.assertEqual([], self.ask())
+            rounds.add_waiter(self.state, key, LogPosition(2, key + 1), 0)
+        requests = self.start_round()
+        self.assertEqual(2, len(requests))
+        self.assertEqual(LogPosition(2, 50), requests[0].place)
+        self.assertEqual([], self.start_round())
 
-    def test_asks_in_flight_are_limited(self):
+    def test_rounds_in_flight_are_limited(self):
         for key in range(20):
-            rounds.add_waiter(self.state, key, Place(2, key + 1), 0)
-            self.ask()
+            rounds.add_waiter(self.state, key, LogPosition(2, key + 1), 0)
+            self.start_round()
         for asked in self.state.in_flight.values():
             self.assertEqual(rounds.MAX_ROUNDS_IN_FLIGHT, len(asked))
 
     def test_partial_reply_confirms_the_earlier_place(self):
-        rounds.add_waiter(self.state, 1, Place(2, 5), 0)
-        rounds.add_waiter(self.state, 2, Place(2, 9), 0)
-        asks = self.ask()
-        reply = status('u3', 2, Place(2, 6))
-        found = rounds.note_status(self.state, asks[0].round_id, reply, 2)
+        rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
+        rounds.add_waiter(self.state, 2, LogPosition(2, 9), 0)
+        requests = self.start_round()
+        reply = status('u3', 2, LogPosition(2, 6))
+        found = rounds.note_status(self.state, requests[0].round_id, reply, 2)
         self.assertEqual([1], [waiter.key for waiter in found])
 
 
-class TestLostAsks(testtools.TestCase):
-    """Asks that were never sent are asked again."""
+class TestLostRequests(testtools.TestCase):
+    """Status requests that were never sent are repeated."""
 
     def test_ask_before_the_connection_is_open(self):
-        """A read that waits for a round that nobody was asked for.
+        """A read waits for a round whose requests were never sent.
 
-        Symptom: during a rolling restart a read ends as not confirmed,
-        though every upstream answers. Sequence: a proxy becomes an owner; a
-        read at the primary comes before the connections to the replicas are
-        open; the asks are dropped; they count as under way for two seconds.
-        Cause: nobody told the core.
+        During a rolling restart a read ends as not confirmed, although every
+        upstream answers. A proxy becomes an owner and serves a read at the
+        primary before the connections to the replicas are open. The status
+        requests are dropped, but count as in flight for two seconds, because
+        the core is not notified.
         """
         state = states.make_owner(
             'p1',
@@ -118,7 +119,7 @@
             random.Random(1),
         )
         state.view.primary = 'u1'
-        rounds.add_waiter(state.round_state, 1, Place(0, 5), 0)
+        rounds.add_waiter(state.round_state, 1, LogPosition(0, 5), 0)
         first = owner.step(state, 0, messages.Tick())
         again = owner.step(state, 30, messages.LinkOpened('u2'))
         asked = [
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -1,18 +1,24 @@
-"""Two owners promote, one right after the other.
-
-Symptom: the first write of a fleet that has just started, or a write just
-after a failover, is answered `not_run`, `cancelled`; a primary that is well
-is replaced. Sequence: one owner promotes; 84 ms later another, which still
-holds that the group has no primary, promotes under a higher term; what the
-first primary had taken in is cancelled. Or: the owner that promoted asks the
-replicas, which count their silence from long before the new term, and
-suspects the primary it made 54 ms ago. Cause: an owner without a primary
-asked no faster than in quiet times and took a peer's word about a newer term
-for agreement on its own older one; silence was not counted from the term's
-beginning. Proof: the logs of the owners of a fleet that starts, "begins a
+"""Two owners promote, one shortly after the other.
+
+The first write of a fleet that has just started, or a write just after a
+failover, is answered `not_run`, `cancelled`, and a healthy primary is
+replaced. There are two causes:
+
+One owner promotes, and 84 ms later another, whose view still has no primary,
+promotes under a higher term; the writes that the first primary had accepted
+are cancelled. An owner without a primary requested statuses no faster than in
+normal operation, and took a peer's report about a newer term as agreement on
+its own older one.
+
+The owner that promoted requests the status of the replicas, which count the
+time without a primary from long before the new term, and suspects the primary
+that it promoted 54 ms ago. The time was not counted from the start of the
+term.
+
+Both were seen in the logs of the owners of a starting fleet: "begins a
 promotion under term 4 (term 0 has had no primary for 1020 ms)" after
 "promoted calc1-u2 under term 2", and "calc1-u2 answers but its replicas have
-not heard from it for 853 ms".
+not heard from it for 853 ms" (as it was worded then).
 """
 
 import random
@@ -32,7 +38,7 @@
 
 
 class TestSecondPromotion(testtools.TestCase):
-    """An owner looks again before it promotes."""
+    """An owner updates its view before it promotes."""
 
     def setUp(self):
         super().setUp()
@@ -43,38 +49,38 @@
         self.outs = []
         self.step(messages.OwnersChanged(('p3', 'p2')))
         self.step(messages.GrantsReceived((4,)))
-        self.see_all(0)
+        self.receive_statuses(0)
 
     def step(self, message):
         self.outs += owner.step(self.state, self.now_ms, message)
 
-    def see(self, name, term, leads=False, silent_ms=0):
+    def receive_status(self, name, term, leads=False, silent_ms=0):
         place = log_positions.LogPosition(term, 0)
         status = messages.Status(name, term, leads, place, silent_ms)
         self.step(messages.StatusReceived(status, sent_ms=self.now_ms))
 
-    def see_all(self, term):
+    def receive_statuses(self, term):
         for name in UPSTREAMS:
-            self.see(name, term)
+            self.receive_status(name, term)
 
-    def pass_ms(self, ms):
+    def advance(self, ms):
         for _ in range(ms // TICK_MS):
             self.now_ms += TICK_MS
             self.step(messages.Tick())
 
     def suspect(self):
-        """Let the group be without a primary until this owner says so."""
+        """Leave the group without a primary until this owner suspects it."""
         while self.state.suspected_since_ms is None:
-            self.see_all(0)
-            self.pass_ms(TICK_MS)
+            self.receive_statuses(0)
+            self.advance(TICK_MS)
 
     def sent(self, kind):
         return [out for out in self.outs if isinstance(out, kind)]
 
-    def test_group_without_a_primary_is_asked_often(self):
+    def test_group_without_a_primary_is_polled_often(self):
         self.suspect()
         self.outs.clear()
-        self.pass_ms(300)
+        self.advance(300)
         asked = [
             o for o in self.sent(messages.RequestStatus) if not o.round_id
         ]
@@ -82,44 +88,44 @@
             times = sum(1 for ask in asked if ask.upstream == name)
             self.assertGreaterEqual(times, 3, name)
 
-    def test_peer_that_is_ahead_is_left_to_it(self):
+    def test_peer_with_a_newer_term_is_waited_for(self):
         self.suspect()
         self.step(messages.PeerSuspicion('p2', 2, True))
-        self.see_all(0)
-        self.pass_ms(60)
+        self.receive_statuses(0)
+        self.advance(60)
         self.assertEqual([], self.sent(messages.Fence))
-        self.see('u2', 2, leads=True)
-        self.see('u1', 2)
-        self.pass_ms(600)
+        self.receive_status('u2', 2, leads=True)
+        self.receive_status('u1', 2)
+        self.advance(600)
         self.assertEqual([], self.sent(messages.Fence))
 
-    def test_peer_that_is_ahead_and_gone_is_not_waited_for(self):
+    def test_failed_peer_with_a_newer_term_is_not_waited_for(self):
         self.suspect()
         self.step(messages.PeerSuspicion('p2', 2, True))
         for _ in range(failover.PEER_PROMOTION_WAIT_MS // 50 + 2):
-            self.see_all(0)
-            self.pass_ms(50)
+            self.receive_statuses(0)
+            self.advance(50)
         fences = self.sent(messages.Fence)
         self.assertEqual({4}, {fence.term for fence in fences})
 
-    def test_peers_are_told_of_an_attempt(self):
+    def test_attempt_is_sent_to_peers(self):
         self.suspect()
         self.step(messages.PeerSuspicion('p2', 0, True))
-        self.pass_ms(TICK_MS)
+        self.advance(TICK_MS)
         self.assertNotEqual([], self.sent(messages.Fence))
         told = self.sent(messages.SendSuspicion)
         self.assertIn(messages.SendSuspicion(4, True), told)
 
 
 class TestSilenceOfATerm(testtools.TestCase):
-    """A replica's silence counts from when it went over to the term."""
+    """Time without a primary counts from when a replica changed its term."""
 
     def setUp(self):
         super().setUp()
         self.view = views.make_view(UPSTREAMS)
-        self.see_all(0, 1000, silent_ms=800)
+        self.receive_statuses(0, 1000, silent_ms=800)
 
-    def see_all(self, term, now_ms, silent_ms):
+    def receive_statuses(self, term, now_ms, silent_ms):
         for name in UPSTREAMS:
             leads = name == 'u2' and term > 0
             place = log_positions.LogPosition(term, 0)
@@ -130,12 +136,12 @@
     def judge(self, now_ms):
         return suspicion.judge(suspicion.Evidence(), self.view, now_ms)[0]
 
-    def test_primary_that_was_made_just_now(self):
-        self.see_all(2, 1050, silent_ms=853)
+    def test_newly_promoted_primary_is_alive(self):
+        self.receive_statuses(2, 1050, silent_ms=853)
         self.assertEqual(suspicion.Verdict.ALIVE, self.judge(1050))
 
-    def test_primary_that_never_reached_its_replicas(self):
-        self.see_all(2, 1050, silent_ms=853)
+    def test_primary_that_never_reached_its_replicas_is_suspected(self):
+        self.receive_statuses(2, 1050, silent_ms=853)
         later = 1050 + suspicion.ISOLATED_PRIMARY_SILENCE_MS
-        self.see_all(2, later, silent_ms=later - 200)
+        self.receive_statuses(2, later, silent_ms=later - 200)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge(later))
--- a/topazring/core/tests/walks.py
+++ b/topazring/core/tests/walks.py
@@ -1,11 +1,11 @@
-"""Walk through the world at random."""
+"""Random walks through the simulation."""
 
 import random
 
-from topazring.core.tests import simulation as worlds
+from topazring.core.tests import simulation as simulations
 
-OWNERS = worlds.OWNERS
-UPSTREAMS = worlds.UPSTREAMS
+OWNERS = simulations.OWNERS
+UPSTREAMS = simulations.UPSTREAMS
 
 ACTIONS = (
     ('advance', 20),
@@ -25,32 +25,36 @@
 )
 
 
-def walk(seed: int, steps: int) -> worlds.Simulation:
-    """Walk at random; raise Violation when a promise is broken."""
+def walk(seed: int, steps: int) -> simulations.Simulation:
+    """Run a random walk; raise Violation if a guarantee is violated."""
     rng = random.Random(seed)
-    world = worlds.Simulation(seed)
-    world.run_without_faults(20)
+    simulation = simulations.Simulation(seed)
+    simulation.run_without_faults(20)
     names = [name for name, _ in ACTIONS]
     weights = [weight for _, weight in ACTIONS]
     for action in rng.choices(names, weights, k=steps):
-        act(world, action, rng)
-    world.heal_and_check()
-    return world
+        act(simulation, action, rng)
+    simulation.heal_and_check()
+    return simulation
 
 
-def act(world: worlds.Simulation, action: str, rng: random.Random) -> None:
-    """Do one thing, with what it needs taken from `rng`."""
+def act(
+    simulation: simulations.Simulation, action: str, rng: random.Random
+) -> None:
+    """Perform one action with parameters drawn from `rng`."""
     match action:
         case 'advance':
-            world.advance(rng.choice((1, 5, 20, 60, 200, 700)))
+            simulation.advance(rng.choice((1, 5, 20, 60, 200, 700)))
         case 'deliver':
-            for _ in range(rng.randrange(1, 2 + len(world.in_transit) // 2)):
+            for _ in range(
+                rng.randrange(1, 2 + len(simulation.in_transit) // 2)
+            ):
                 late = rng.random() < 0.2
-                world.deliver(rng.randrange(1000) if late else 0)
+                simulation.deliver(rng.randrange(1000) if late else 0)
         case 'replicate':
-            world.replicate(rng.choice(UPSTREAMS), rng.choice(UPSTREAMS))
+            simulation.replicate(rng.choice(UPSTREAMS), rng.choice(UPSTREAMS))
         case 'submit':
-            world.submit(
+            simulation.submit(
                 rng.choice(OWNERS),
                 rng.randrange(4),
                 rng.randrange(4),
@@ -58,27 +62,29 @@
             )
         case 'repeat':
             index = rng.randrange(1000)
-            world.repeat(rng.choice(OWNERS), index, rng.random() < 0.5)
+            simulation.repeat(rng.choice(OWNERS), index, rng.random() < 0.5)
         case 'transact':
             what = rng.randrange(4)
-            world.transact(rng.choice(OWNERS), rng.randrange(4), what)
+            simulation.transact(rng.choice(OWNERS), rng.randrange(4), what)
         case 'withdraw':
-            world.withdraw(rng.randrange(4))
+            simulation.withdraw(rng.randrange(4))
         case 'lose':
-            world.lose(rng.randrange(1000), rng.random() < 0.5)
+            simulation.lose(rng.randrange(1000), rng.random() < 0.5)
         case 'suspect':
             kind = rng.choice(('refused', 'silent_new'))
-            world.fail_probe(rng.choice(OWNERS), kind)
+            simulation.fail_probe(rng.choice(OWNERS), kind)
         case 'lie':
-            # A false alarm: replicas and owners agree on it.
-            world.reports_false_silence = not world.reports_false_silence
+            # A false alarm on which replicas and owners agree.
+            simulation.reports_false_silence = (
+                not simulation.reports_false_silence
+            )
             for name in OWNERS:
-                world.fail_probe(name, 'silent_new')
+                simulation.fail_probe(name, 'silent_new')
         case 'see_owners':
-            world.change_owners(rng.choice(OWNERS), rng.randrange(4))
+            simulation.change_owners(rng.choice(OWNERS), rng.randrange(4))
         case 'pause':
-            world.pause(rng.choice(OWNERS))
+            simulation.pause(rng.choice(OWNERS))
         case 'store':
-            world.store = rng.choice(('up', 'down', 'lossy'))
+            simulation.store_state = rng.choice(('up', 'down', 'lossy'))
         case 'restart':
-            world.restart(rng.choice(OWNERS))
+            simulation.restart(rng.choice(OWNERS))
