--- a/topazring/core/arrival.py
+++ b/topazring/core/arrival.py
@@ -1,4 +1,4 @@
-"""Admit a request or refuse it at once."""
+"""Admission of new requests."""
 
 from topazring.core import admission
 from topazring.core import completion
@@ -10,23 +10,24 @@
 from topazring.core import view as views
 
 __all__ = [
-    'majority_lag',
-    'too_late',
+    'majority_lag_ms',
+    'check_deadline',
     'submit',
-    'usual_lag',
+    'usual_lag_ms',
 ]
 
 Out = list
 Reason = outcomes.Reason
 Kind = requests.Kind
 
-# A wait is taken to be that much longer than estimated: who is admitted
-# and then too late has waited for nothing.
-CAUTION = 1.25
-# Time that has to be left, as a multiple of what is usually needed.
-TIGHT = 1.5
-# Replicas whose lag is so many times a statement's time are the cause.
-LAG_IS_CAUSE = 10
+# Factor on the estimated wait: a request that is admitted and then misses its
+# deadline has waited in vain.
+WAIT_SAFETY_FACTOR = 1.25
+# Time that has to be left, as a multiple of the time usually needed.
+DEADLINE_SAFETY_FACTOR = 1.5
+# If the replica lag is this many times the service time of a statement, it is
+# reported as the cause of a missed deadline.
+HIGH_LAG_FACTOR = 10
 
 
 def submit(
@@ -37,13 +38,13 @@
     work = states.Work(request, now_ms, maybe_ran=request.repeat)
     state.work[request.key] = work
     if request.kind is Kind.SETTLE:
-        work.settling = True
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
     if request.kind in completion.IN_TRANSACTION:
         return _submit_in_transaction(state, work)
-    refusal = _refusal_on_arrival(state, now_ms, request)
+    refusal = _check_on_arrival(state, now_ms, request)
     if refusal is not None:
         after_ms = refusal.retry_after_ms
         return completion.give_up(state, work, refusal.reason, after_ms)
@@ -59,86 +60,93 @@
         return []
     if transaction is None and request.kind is Kind.COMMIT:
         # It may be a second copy of a commit that took effect; only the
-        # record knows.
-        work.settling = True
+        # request record shows that.
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
     lost = outcomes.NotRun(
-        Reason.TRANSACTION_LOST, completion.LEAST_RETRY_AFTER_MS
+        Reason.TRANSACTION_LOST, completion.MIN_RETRY_AFTER_MS
     )
     return completion.finish(state, work, lost)
 
 
-def _refusal_on_arrival(
+def _check_on_arrival(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> outcomes.NotRun | None:
-    """Refuse what cannot make its deadline while it has cost nothing yet."""
+    """Return a refusal if the request is expected to miss its deadline.
+
+    Refusing on arrival is cheapest: nothing was spent on the request yet.
+    """
     left_ms = request.deadline_ms - now_ms
-    primary_needed = (
+    needs_primary = (
         completion.queue_for(state, request, False) is state.primary_queue
     )
-    if primary_needed and expiry.is_cut_off(state, now_ms):
-        return completion.refuse(Reason.NO_PRIMARY, expiry.CUT_OFF_MS)
-    reason = too_late(state, now_ms, request)
+    if needs_primary and expiry.is_primary_unreachable(state, now_ms):
+        return completion.make_refusal(
+            Reason.NO_PRIMARY, expiry.UNREACHABLE_MS
+        )
+    reason = check_deadline(state, now_ms, request)
     if reason is not None:
-        return completion.refuse(reason, majority_lag(state, now_ms))
+        return completion.make_refusal(reason, majority_lag_ms(state, now_ms))
     queue = completion.queue_for(state, request, primary_only=False)
-    wait_ms = admission.estimate_wait(
+    wait_ms = admission.estimate_wait_ms(
         queue, request.organisation, state.limits.slots, state.service_ms
     )
-    wait_ms = wait_ms * CAUTION + _needed_ms(state, now_ms, request.kind)
+    wait_ms = wait_ms * WAIT_SAFETY_FACTOR + _needed_ms(
+        state, now_ms, request.kind
+    )
     if wait_ms > left_ms:
-        return completion.refuse(Reason.OVERLOAD, wait_ms - left_ms)
+        return completion.make_refusal(Reason.OVERLOAD, wait_ms - left_ms)
     if request.kind is Kind.BEGIN:
-        most = state.limits.connections - state.limits.slots - 1
-        if len(state.transactions) >= max(1, most):
-            return completion.refuse(Reason.CONNECTION_LIMIT, 0)
+        max_transactions = state.limits.connections - state.limits.slots - 1
+        if len(state.transactions) >= max(1, max_transactions):
+            return completion.make_refusal(Reason.CONNECTION_LIMIT, 0)
     return None
 
 
-def too_late(
+def check_deadline(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> Reason | None:
-    """Say why a request would end in doubt if it began now, if it would.
+    """Return why a request begun now would end in doubt, or None.
 
-    It would take a slot from one that can make it, and another to find out
-    what became of it.
+    Such a request would take a slot from one that can meet its deadline, and
+    another slot to resolve its outcome.
     """
     needed = _needed_ms(state, now_ms, request.kind)
     if request.deadline_ms - now_ms >= needed:
         return None
     if request.kind is Kind.WRITE:
-        if majority_lag(state, now_ms) > state.service_ms * LAG_IS_CAUSE:
+        if majority_lag_ms(state, now_ms) > state.service_ms * HIGH_LAG_FACTOR:
             return Reason.REPLICAS_BEHIND
     return Reason.DEADLINE
 
 
 def _needed_ms(state: states.OwnerState, now_ms: int, kind: Kind) -> float:
-    """Return the time that a request should have left when it begins."""
+    """Return the time that a request should have left when it starts."""
     needed = state.service_ms
     if kind is Kind.WRITE:
-        needed += majority_lag(state, now_ms)
-    return needed * TIGHT
+        needed += majority_lag_ms(state, now_ms)
+    return needed * DEADLINE_SAFETY_FACTOR
 
 
-def usual_lag(state: states.OwnerState) -> float:
-    """Return how long a majority usually takes to hold a new place."""
+def usual_lag_ms(state: states.OwnerState) -> float:
+    """Return how long a majority usually takes to reach a new log position."""
     lags = {name: u.lag_ms for name, u in state.view.upstreams.items()}
-    return _lag_of_majority(state, lags)
+    return _majority_of_lags(state, lags)
 
 
-def majority_lag(state: states.OwnerState, now_ms: int) -> float:
-    """Return the same, or what it takes just now if that is longer."""
+def majority_lag_ms(state: states.OwnerState, now_ms: int) -> float:
+    """Return the usual lag of a majority, or the current one if longer."""
     lags = {}
     for name, seen in state.view.upstreams.items():
         lags[name] = seen.lag_ms
-        if seen.awaited is not None:
-            lags[name] = max(seen.lag_ms, now_ms - seen.awaited.sent_ms)
-    return _lag_of_majority(state, lags)
+        if seen.lag_sample is not None:
+            lags[name] = max(seen.lag_ms, now_ms - seen.lag_sample.sent_ms)
+    return _majority_of_lags(state, lags)
 
 
-def _lag_of_majority(
+def _majority_of_lags(
     state: states.OwnerState, lags: dict[str, float]
 ) -> float:
     primary = state.view.primary
--- a/topazring/core/results.py
+++ b/topazring/core/results.py
@@ -1,4 +1,4 @@
-"""Take in what upstreams did with requests."""
+"""Handle the results of requests that ran at upstreams."""
 
 from topazring.core import completion
 from topazring.core import log_positions
@@ -12,8 +12,8 @@
 from topazring.core import view as views
 
 __all__ = [
-    'confirmed',
-    'executed',
+    'complete_confirmed',
+    'handle_executed',
 ]
 
 Out = list
@@ -25,30 +25,30 @@
 UNREACHED_PAUSE_MS = 50
 
 
-def executed(
+def handle_executed(
     state: states.OwnerState, now_ms: int, message: messages.Executed
 ) -> Out:
-    """Take in what an upstream did with a request."""
-    state.in_work[message.upstream] -= 1
+    """Handle the result of a request at an upstream."""
+    state.in_flight[message.upstream] -= 1
     work = state.work.get(message.key)
     if work is None or work.attempt != message.attempt:
-        return _late(state, message)
+        return _discard_late(state, message)
     match message.result:
         case messages.Ran():
             return _ran(state, now_ms, work, message.result)
         case messages.Refused():
-            return _refused(state, now_ms, work, message.result)
+            return _handle_refused(state, now_ms, work, message.result)
         case messages.SqlFailed():
-            return _sql_failed(state, work, message.result)
+            return _handle_sql_failed(state, work, message.result)
         case messages.ConnectionLost():
-            return _lost(state, now_ms, work, message.result)
+            return _handle_lost(state, now_ms, work, message.result)
 
 
-def _late(state: states.OwnerState, message: messages.Executed) -> Out:
+def _discard_late(state: states.OwnerState, message: messages.Executed) -> Out:
     """Drop a result whose request already has its final answer.
 
-    A transaction that began after its caller was answered has no one to
-    end it; its connection would stay taken until its own deadline.
+    A transaction that began after its caller was answered is closed, since
+    nobody would end it: its connection would be held until its deadline.
     """
     state.counters['late_result'] += 1
     if message.key in state.transactions:
@@ -72,12 +72,12 @@
         return _ran_at_replica(state, now_ms, work, result)
     kind = work.request.kind
     if kind is Kind.BEGIN:
-        return _began(state, work)
+        return _handle_begun(state, work)
     if kind is Kind.EXECUTE:
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
             # It was withdrawn or timed out while this statement ran.
-            return completion.lose_transaction_of(state, work)
+            return completion.fail_lost_transaction(state, work)
         transaction.busy = False
         done = outcomes.Done(result.rows, log_positions.ORIGIN, work.upstream)
         return completion.finish(state, work, done)
@@ -115,7 +115,7 @@
     return completion.finish(state, work, done)
 
 
-def _began(state: states.OwnerState, work: states.Work) -> Out:
+def _handle_begun(state: states.OwnerState, work: states.Work) -> Out:
     request = work.request
     state.transactions[request.key] = states.Transaction(
         work.upstream,
@@ -127,7 +127,7 @@
     return completion.finish(state, work, done)
 
 
-def _refused(
+def _handle_refused(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
@@ -144,10 +144,15 @@
     if reason in (Reason.SLOTS_BUSY, Reason.CONNECTION_LIMIT):
         state.busy_until_ms[work.upstream] = now_ms + BUSY_PAUSE_MS
         return completion.requeue(state, now_ms, work, reason, False)
-    if work.request.kind in completion.IN_TRANSACTION and not work.settling:
+    if (
+        work.request.kind in completion.IN_TRANSACTION
+        and not work.is_resolving
+    ):
         return _lose_transaction(state, work, reason)
     if reason is Reason.CONFLICT:
-        return completion.finish(state, work, completion.refuse(reason, 0))
+        return completion.finish(
+            state, work, completion.make_refusal(reason, 0)
+        )
     state.busy_until_ms[work.upstream] = now_ms + REPLACED_PAUSE_MS
     return completion.requeue(state, now_ms, work, reason, False)
 
@@ -155,7 +160,7 @@
 def _lose_transaction(
     state: states.OwnerState, work: states.Work, reason: Reason
 ) -> Out:
-    """End a transaction whose connection is closed: it rolls back there."""
+    """End a transaction whose closed connection rolls it back."""
     key = work.request.transaction
     state.transactions.pop(key, None)
     if reason is not Reason.CONFLICT:
@@ -164,10 +169,12 @@
     if work.request.kind is Kind.ROLLBACK:
         done = outcomes.Done([], log_positions.ORIGIN, work.upstream)
         return outs + completion.finish(state, work, done)
-    return outs + completion.finish(state, work, completion.refuse(reason, 0))
+    return outs + completion.finish(
+        state, work, completion.make_refusal(reason, 0)
+    )
 
 
-def _sql_failed(
+def _handle_sql_failed(
     state: states.OwnerState, work: states.Work, result: messages.SqlFailed
 ) -> Out:
     transaction = state.transactions.get(work.request.transaction)
@@ -178,7 +185,7 @@
     )
 
 
-def _lost(
+def _handle_lost(
     state: states.OwnerState,
     now_ms: int,
     work: states.Work,
@@ -189,14 +196,14 @@
         return _lose_transaction(state, work, result.reason)
     if kind is Kind.COMMIT:
         state.transactions.pop(work.request.transaction, None)
-        if not result.sent and not work.settling:
+        if not result.sent and not work.is_resolving:
             return _lose_transaction(state, work, result.reason)
     if not result.sent:
-        # No upstream was given work, so no budget is spent; the pause keeps
-        # a dead primary from being dialled in a tight loop.
+        # Nothing was sent to the upstream, so no retry budget is spent; the
+        # pause avoids connecting to a dead primary in a tight loop.
         state.busy_until_ms[work.upstream] = now_ms + UNREACHED_PAUSE_MS
         return completion.requeue(state, now_ms, work, result.reason, False)
-    if kind in requests.WRITES:
+    if kind in requests.RECORDED_KINDS:
         return completion.resolve_in_doubt(state, now_ms, work, result.reason)
     if kind is Kind.READ:
         work.maybe_ran = True
@@ -204,11 +211,11 @@
     return completion.requeue(state, now_ms, work, result.reason, True)
 
 
-def confirmed(
+def complete_confirmed(
     state: states.OwnerState, now_ms: int, waiter: rounds.Waiter
 ) -> Out:
-    """Answer a request whose place a majority holds."""
-    if waiter.needs_place:
+    """Answer a request whose log position a majority holds."""
+    if waiter.needs_position:
         state.view.committed = max(state.view.committed, waiter.place)
     sample = log_positions.Sample(waiter.sent_ms, waiter.place)
     views.add_sample(state.view, sample)
@@ -218,7 +225,7 @@
     result = work.result
     if result.cancelled:
         return completion.finish(
-            state, work, completion.refuse(Reason.CANCELLED, 0)
+            state, work, completion.make_refusal(Reason.CANCELLED, 0)
         )
     if work.request.kind is Kind.READ:
         state.counters['primary_reads'] += 1
