--- a/topazring/core/synchronous/arrival.py
+++ b/topazring/core/synchronous/arrival.py
@@ -1,14 +1,14 @@
 """Take in requests: admit them, or refuse at once what would be too late."""
 
 from topazring.core import outcomes
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import dispatch
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import pace
 from topazring.core.synchronous import prospects
+from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import routing
 from topazring.core.synchronous import state as states
-from topazring.core.synchronous import waiting
 
 __all__ = ['submit', 'withdraw']
 
@@ -42,11 +42,11 @@
     work.primary_only = request.needs_primary
     refusal = _refusal(state, now_ms, work)
     if refusal is not None:
-        return fates.give_up(
+        return completion.give_up(
             state, now_ms, work, refusal.reason, refusal.retry_after_ms
         )
-    outs = fates.line_up(state, now_ms, work)
-    return outs + dispatch.run(state, now_ms)
+    outs = completion.enqueue(state, now_ms, work)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 def _refusal(
@@ -71,10 +71,10 @@
 ) -> float:
     """Estimate how long until a request is answered; 0 if none waits."""
     policy = work.request.policy
-    ahead = waiting.ahead_of(state, work.primary_only, policy)
+    ahead = request_queues.count_ahead(state, work.primary_only, policy)
     at_primary = 0
     if not work.primary_only:
-        at_primary = waiting.ahead_of(state, True, policy)
+        at_primary = request_queues.count_ahead(state, True, policy)
     if not ahead and not at_primary:
         return 0.0
     able = routing.candidates(state, now_ms, work)
@@ -108,11 +108,11 @@
     outs: list = []
     for work in list(state.work.values()):
         if work.request.transaction == message.transaction:
-            outs += fates.cancel(state, work)
+            outs += completion.cancel(state, work)
     transaction = state.transactions.pop(message.transaction, None)
     if transaction is None:
         return outs
     connection = state.connections[transaction.connection]
     if connection.phase is states.Phase.IDLE:
-        outs += dispatch.undo(state, now_ms, connection)
+        outs += dispatch.roll_back(state, now_ms, connection)
     return outs
--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -175,7 +175,7 @@
     Then writes are confirmed, and what hangs is the answer: one was lost, or
     the replicas only apply late what they receive at once.
     """
-    before = freshness.place_at(state, now_ms - evidence.STANDING_MS)
+    before = freshness.position_at(state, now_ms - evidence.STANDING_MS)
     if before is None:
         return False
     return any(
--- a/topazring/core/synchronous/fates.py
+++ b/topazring/core/synchronous/completion.py
@@ -13,34 +13,34 @@
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
+from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import settling
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous import waiting
 
 __all__ = [
     'answer',
-    'answer_proved',
+    'answer_proven',
     'cancel',
-    'confirmed',
-    'done',
+    'acknowledge_when_durable',
+    'answer_success',
     'end_transaction',
     'give_up',
-    'keeps_nothing',
-    'line_up',
+    'has_no_lasting_effect',
+    'enqueue',
     'may_have_run',
     'requeue',
-    'unserved',
+    'unserved_outcome',
 ]
 
 Reason = outcomes.Reason
 
 # When a caller whose request found the line full may come back: a line
 # moves on by its whole length in about that time.
-FULL_RETRY_MS = 150
+BACKLOG_RETRY_MS = 150
 
 
-def keeps_nothing(work: states.Work) -> bool:
+def has_no_lasting_effect(work: states.Work) -> bool:
     """Say whether nothing of the request can last, whatever became of it."""
     request = work.request
     if request.statement.verb is statements.Verb.COMMIT:
@@ -63,7 +63,7 @@
     """
     del state.work[work.request.key]
     if work.queued:
-        waiting.remove(state, work)
+        request_queues.remove(state, work)
     state.counters[_label(outcome)] += 1
     answered = messages.Answer(work.request.key, outcome)
     if not work.told:
@@ -92,7 +92,7 @@
     return f'{name}_{reason}' if reason else name
 
 
-def done(
+def answer_success(
     state: states.GroupState,
     work: states.Work,
     connection: states.Connection,
@@ -139,7 +139,7 @@
     return []
 
 
-def confirmed(
+def acknowledge_when_durable(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
@@ -210,7 +210,7 @@
     return [messages.Decided('acknowledged', request_id, inputs)]
 
 
-def answer_proved(state: states.GroupState, now_ms: int) -> list:
+def answer_proven(state: states.GroupState, now_ms: int) -> list:
     """Answer what waits for the proof that its upstream led."""
     if not state.held:
         return []
@@ -266,7 +266,7 @@
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     work.ready = None
-    if not keeps_nothing(work):
+    if not has_no_lasting_effect(work):
         # Its upstream was replaced, with or without what it wrote.
         return give_up(state, now_ms, work, Reason.REPLACED, 0, maybe_ran=True)
     if work.request.transaction:
@@ -287,7 +287,7 @@
     held = work.confirmation
     if held is not None and held.upstream == state.primary:
         state.unsure_ms = now_ms
-    outcome = unserved(work, reason, retry_after_ms, maybe_ran)
+    outcome = unserved_outcome(work, reason, retry_after_ms, maybe_ran)
     decided = messages.Decided(
         'gave up',
         request.statement.request_id,
@@ -317,18 +317,18 @@
 
     Its connection goes on with what was sent, for nobody.
     """
-    outcome = unserved(work, Reason.CANCELLED, 0, may_have_run(work))
+    outcome = unserved_outcome(work, Reason.CANCELLED, 0, may_have_run(work))
     return answer(state, work, outcome)
 
 
-def unserved(
+def unserved_outcome(
     work: states.Work,
     reason: outcomes.Reason,
     retry_after_ms: int,
     maybe_ran: bool,
 ) -> outcomes.Outcome:
     """Say what is kept of a request that is not served."""
-    if maybe_ran and not keeps_nothing(work):
+    if maybe_ran and not has_no_lasting_effect(work):
         return outcomes.Unknown(reason)
     return outcomes.NotRun(reason, retry_after_ms)
 
@@ -349,18 +349,18 @@
     return list(connections.drop(state, connection))
 
 
-def line_up(state: states.GroupState, now_ms: int, work: states.Work) -> list:
+def enqueue(state: states.GroupState, now_ms: int, work: states.Work) -> list:
     """Put a request in line; refuse the one that has to leave a full one.
 
     It may be the same. Unrefused it would wait outside the line for its whole
     time, and the caller with it.
     """
-    left_out = waiting.add(state, work)
+    left_out = request_queues.add(state, work)
     if left_out is None:
         return []
     last = state.work[left_out]
     last.queued = False
-    return give_up(state, now_ms, last, Reason.BACKLOG, FULL_RETRY_MS)
+    return give_up(state, now_ms, last, Reason.BACKLOG, BACKLOG_RETRY_MS)
 
 
 def requeue(
@@ -378,7 +378,7 @@
     if work.running:
         # Another copy of a hedged read is still under way.
         return []
-    outs = line_up(state, now_ms, work)
+    outs = enqueue(state, now_ms, work)
     return [
         *outs,
         messages.Decided(
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -3,33 +3,33 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core import retries
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import questions
+from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import routing
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous import waiting
 
 __all__ = [
     'continue_transaction',
     'hedge',
-    'run',
-    'undo',
+    'start_waiting',
+    'roll_back',
 ]
 
 Reason = outcomes.Reason
 
 # One ordinary request in so many is told in the log.
-SAMPLE = 256
+LOG_SAMPLE_INTERVAL = 256
 
 
-def run(state: states.GroupState, now_ms: int) -> list:
+def start_waiting(state: states.GroupState, now_ms: int) -> list:
     """Serve what waits, in order, as long as connections are free.
 
     What proves the lead goes first: answers that are ready wait for it.
@@ -42,9 +42,11 @@
 def _serve_at_primary(state: states.GroupState, now_ms: int) -> list:
     """Serve those for the primary for as long as it takes another."""
     outs: list = []
-    if not waiting.is_any(state, True) or not _primary_takes(state, now_ms):
+    if not request_queues.has_any(state, True) or not _primary_takes(
+        state, now_ms
+    ):
         return outs
-    for key in waiting.heads(state, True):
+    for key in request_queues.service_order(state, True):
         work = state.work[key]
         if work.not_before_ms > now_ms:
             continue
@@ -57,15 +59,15 @@
 def _serve_anywhere(state: states.GroupState, now_ms: int) -> list:
     """Serve those that any upstream may take that is fresh enough."""
     outs: list = []
-    if not waiting.is_any(state, False):
+    if not request_queues.has_any(state, False):
         return outs
     room = None
-    for key in waiting.heads(state, False):
+    for key in request_queues.service_order(state, False):
         work = state.work[key]
         if work.not_before_ms > now_ms:
             continue
         if room is None:
-            room = routing.look(state, now_ms)
+            room = routing.read_capacity(state, now_ms)
         done = _anywhere(state, now_ms, work, room)
         if done:
             # It took a connection, or others made way for it.
@@ -79,7 +81,7 @@
     upstream = state.upstreams.get(state.primary)
     if upstream is None or states.is_closed_to_work(upstream, now_ms):
         return False
-    return routing.takes(state, now_ms, upstream)
+    return routing.accepts_request(state, now_ms, upstream)
 
 
 def _at_primary(
@@ -101,27 +103,27 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    room: routing.Room,
+    room: routing.ReadCapacity,
 ) -> list:
     place = freshness.required_place(state, work.request)
     if place is None:
         return _move_to_primary(state, now_ms, work, 'no age is known')
-    among = routing.fresh_among(state, now_ms, work, place, room.readable)
+    among = routing.filter_fresh(state, now_ms, work, place, room.readable)
     if not among:
         return _move_to_primary(state, now_ms, work, 'no replica will do')
     free = [upstream for upstream in among if upstream.name in room.free]
     if not free:
         return []
-    chosen = routing.choose_free(state, now_ms, free, work)
+    chosen = routing.choose_free_connection(state, now_ms, free, work)
     return _start(state, now_ms, work, chosen, place)
 
 
 def _move_to_primary(
     state: states.GroupState, now_ms: int, work: states.Work, why: str
 ) -> list:
-    waiting.remove(state, work)
+    request_queues.remove(state, work)
     work.primary_only = True
-    outs = fates.line_up(state, now_ms, work)
+    outs = completion.enqueue(state, now_ms, work)
     if not work.queued:
         return outs
     state.counters['read_moved_to_primary'] += 1
@@ -147,7 +149,7 @@
 ) -> list:
     request = work.request
     if work.queued:
-        waiting.take(state, now_ms, work)
+        request_queues.dequeue(state, now_ms, work)
     if work.offered_ms is None:
         work.offered_ms = now_ms
     pace.begin(connection, now_ms)
@@ -156,10 +158,10 @@
     if after is None and proofs.needs_proof(request):
         proofs.want(state, request.arrived_ms)
     if request.begins:
-        commands = exchanges.begin(connection, request, after)
+        commands = exchanges.begin_commands(connection, request, after)
         errand = states.Errand.BEGINNING
     else:
-        commands = exchanges.single(connection, request, after)
+        commands = exchanges.single_commands(connection, request, after)
         errand = states.Errand.STATEMENT
     outs.append(connections.send(connection, now_ms, errand, commands))
     return outs + questions.ask(state, now_ms)
@@ -177,7 +179,7 @@
     Of the ordinary ones a sample is told.
     """
     request = work.request
-    if not work.told and request.key % SAMPLE:
+    if not work.told and request.key % LOG_SAMPLE_INTERVAL:
         return []
     work.told = True
     upstream = state.upstreams[connection.upstream]
@@ -222,7 +224,9 @@
     request = work.request
     transaction = state.transactions.get(request.transaction)
     if transaction is None:
-        return fates.give_up(state, now_ms, work, Reason.TRANSACTION_LOST, 0)
+        return completion.give_up(
+            state, now_ms, work, Reason.TRANSACTION_LOST, 0
+        )
     connection = state.connections[transaction.connection]
     commands = exchanges.adapt(connection, request)
     commands.append(exchanges.statement_command(request))
@@ -233,7 +237,7 @@
     return [sent]
 
 
-def undo(
+def roll_back(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> list:
     """Roll an idle connection back for its next use."""
@@ -257,10 +261,10 @@
     if place is not None:
         among = [
             upstream
-            for upstream in routing.fresh_enough(state, now_ms, work, place)
+            for upstream in routing.fresh_upstreams(state, now_ms, work, place)
             if upstream.name not in busy_at
         ]
-    chosen = routing.choose(state, now_ms, among, work)
+    chosen = routing.choose_connection(state, now_ms, among, work)
     primary = state.upstreams.get(state.primary)
     if chosen is None and primary is not None:
         # A second connection to the primary: the first may be silent.
--- a/topazring/core/synchronous/evidence.py
+++ b/topazring/core/synchronous/evidence.py
@@ -194,7 +194,7 @@
     if unanswered_since(state, upstream) is not None:
         # Whether it answers at all is to be seen first.
         return None
-    before = freshness.place_at(state, now_ms - STANDING_MS)
+    before = freshness.position_at(state, now_ms - STANDING_MS)
     if before is None:
         return None
     replicas = states.others(state)
--- a/topazring/core/synchronous/exchanges.py
+++ b/topazring/core/synchronous/exchanges.py
@@ -11,25 +11,25 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'GUARD',
-    'REPORT',
+    'LEADERSHIP_CHECK',
+    'STATUS_QUERY',
     'adapt',
     'adapt_cost',
-    'begin',
-    'guard_refused',
-    'single',
+    'begin_commands',
+    'first_refusal',
+    'single_commands',
     'statement_command',
 ]
 
 # BEGIN takes no slot, and an upstream that does not lead refuses it. So its
 # success proves, before the read behind it runs, that the upstream led after
 # the read had arrived here.
-GUARD = (statements.Begin(), statements.Rollback())
+LEADERSHIP_CHECK = (statements.Begin(), statements.Rollback())
 
 # No term is below the first, so nobody is demoted. The answer is an upstream's
 # own word on its part, its log, and whether it is paused, as that to STATUS
 # is, but it takes no slot.
-REPORT = (statements.Demote(0),)
+STATUS_QUERY = (statements.Demote(0),)
 
 
 def adapt(
@@ -90,7 +90,7 @@
     return statements.Run(statement.request_id, statement.text, after)
 
 
-def single(
+def single_commands(
     connection: states.Connection,
     request: messages.Request,
     after: log_positions.LogPosition | None,
@@ -101,12 +101,12 @@
     """
     commands = adapt(connection, request)
     if after is None and not request.writes:
-        commands += GUARD
+        commands += LEADERSHIP_CHECK
     commands.append(statement_command(request, after))
     return tuple(commands)
 
 
-def begin(
+def begin_commands(
     connection: states.Connection,
     request: messages.Request,
     after: log_positions.LogPosition | None,
@@ -115,12 +115,12 @@
     commands = adapt(connection, request)
     if request.read_only and after is None:
         # BEGIN READ succeeds at any upstream and proves nothing.
-        commands += GUARD
+        commands += LEADERSHIP_CHECK
     commands.append(statements.Begin(request.read_only, after))
     return tuple(commands)
 
 
-def guard_refused(
+def first_refusal(
     commands: tuple[statements.Command, ...],
     replies: tuple[statements.Reply, ...],
 ) -> statements.Reply | None:
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -1,11 +1,11 @@
 """End what has run out of time; try slow reads elsewhere."""
 
 from topazring.core import outcomes
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import evidence
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import pace
@@ -26,13 +26,13 @@
 # nothing any more; the longest statement takes a fifth of it.
 SILENT_MS = 1500
 # One whose request has its answer already holds up those that wait.
-SILENT_FOR_NOBODY_MS = 400
+SILENT_ABANDONED_MS = 400
 # Guards take no slot, so their answer is never slow.
-SILENT_GUARD_MS = 400
-MOST_HEDGES = 2
+SILENT_CHECK_MS = 400
+MAX_HEDGES = 2
 # A confirmed write waits so long for a member's word, also past its deadline:
 # members are asked again by then, and most callers still take the answer.
-WORD_MS = 50
+CONFIRMATION_GRACE_MS = 50
 
 
 def expire(state: states.GroupState, now_ms: int) -> list:
@@ -58,7 +58,10 @@
     """Return when a request is given up at the latest."""
     if work.confirmation is None:
         return work.deadline_ms
-    return max(work.deadline_ms, work.confirmation.confirmed_ms + WORD_MS)
+    return max(
+        work.deadline_ms,
+        work.confirmation.confirmed_ms + CONFIRMATION_GRACE_MS,
+    )
 
 
 def _undo_idle(state: states.GroupState, now_ms: int) -> list:
@@ -79,22 +82,22 @@
         state.counters['transaction_idle'] += 1
         inputs = {'upstream': connection.upstream, 'idle_ms': idle_ms}
         outs.append(messages.Decided('transaction idle', inputs=inputs))
-        outs += dispatch.undo(state, now_ms, connection)
+        outs += dispatch.roll_back(state, now_ms, connection)
     return outs
 
 
 def _too_late(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    if fates.may_have_run(work):
+    if completion.may_have_run(work):
         unproven = work.ready is not None
         reason = Reason.UNPROVEN if unproven else Reason.UPSTREAM_TIMEOUT
-        return fates.give_up(
+        return completion.give_up(
             state, now_ms, work, reason, RETRY_MS, maybe_ran=True
         )
     retry_ms = RETRY_MS if state.primary else NO_PRIMARY_RETRY_MS
     reason = work.last_reason if not state.primary else Reason.DEADLINE
-    return fates.give_up(state, now_ms, work, reason, retry_ms)
+    return completion.give_up(state, now_ms, work, reason, retry_ms)
 
 
 def _hopeless(
@@ -103,7 +106,7 @@
     hopeless = prospects.judge(state, now_ms, work)
     if hopeless is None:
         return []
-    return fates.give_up(
+    return completion.give_up(
         state, now_ms, work, hopeless.reason, hopeless.retry_after_ms
     )
 
@@ -120,7 +123,7 @@
     elif not proofs.in_doubt(state, now_ms):
         return []
     retry_ms = prospects.ELSEWHERE_MS
-    return fates.give_up(
+    return completion.give_up(
         state, now_ms, work, Reason.UNPROVEN, retry_ms, maybe_ran=True
     )
 
@@ -172,7 +175,7 @@
     reason: outcomes.Reason,
 ) -> list:
     """Give up a request whose connections are of no more use."""
-    outs = fates.give_up(state, now_ms, work, reason, 0, maybe_ran=True)
+    outs = completion.give_up(state, now_ms, work, reason, 0, maybe_ran=True)
     for number in list(work.running):
         connection = state.connections.get(number)
         # A transaction's went with it.
@@ -183,7 +186,7 @@
 
 def _is_slow(state: states.GroupState, now_ms: int, work: states.Work) -> bool:
     request = work.request
-    if request.writes or request.transaction or work.hedges >= MOST_HEDGES:
+    if request.writes or request.transaction or work.hedges >= MAX_HEDGES:
         return False
     for number in work.running:
         connection = state.connections[number]
@@ -221,7 +224,7 @@
             )
         )
         ended = messages.Closed(connection.number, Reason.SILENT)
-        outs += results.closed(state, now_ms, connection, ended)
+        outs += results.handle_closed(state, now_ms, connection, ended)
     return outs
 
 
@@ -229,7 +232,7 @@
     if connection.phase is states.Phase.OPENING:
         return connections.DIAL_TIMEOUT_MS
     if connection.errand in (states.Errand.GUARD, states.Errand.BEGINNING):
-        return SILENT_GUARD_MS
+        return SILENT_CHECK_MS
     if connection.work and connection.work not in state.work:
-        return SILENT_FOR_NOBODY_MS
+        return SILENT_ABANDONED_MS
     return SILENT_MS
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -22,26 +22,26 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'HERE',
+    'THIS_PROXY',
     'Load',
-    'Lost',
+    'LinkLost',
     'Plan',
-    'give_up',
+    'final_outcome',
     'is_final',
-    'judge_lost',
-    'next_place',
-    'unconfigured',
+    'lost_link_outcome',
+    'next_owner',
+    'unconfigured_outcome',
 ]
 
 Reason = outcomes.Reason
 
 # Stands for this proxy.
-HERE = ''
+THIS_PROXY = ''
 # Places tried for one request, this proxy included: each hop takes some
 # milliseconds of a caller's time.
-MOST_PLACES = 4
+MAX_ATTEMPTS = 4
 # These say that the place could not serve it, another may.
-CANNOT = frozenset(
+FORWARDABLE_REASONS = frozenset(
     {
         Reason.CONNECTION_LIMIT,
         Reason.DRAINING,
@@ -56,17 +56,17 @@
 # centre: a statement takes 10 to 20 ms on one of some ten connections, the
 # hop half a millisecond and three more between data centres.
 HOP_COST = 1.0
-FOREIGN_COST = 3.0
+REMOTE_HOP_COST = 3.0
 # What an owner told of its line counts half after so long.
-LOAD_HALF_MS = 300
+LOAD_HALF_LIFE_MS = 300
 # When to come back if nobody could be reached.
-RETRY_MS = 200
+NO_OWNER_RETRY_MS = 200
 # A service that has just been added is known here within a second.
 UNCONFIGURED_RETRY_MS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class LinkLost:
     """Report that a link ended, or never began, before the answer."""
 
     sent: bool
@@ -88,18 +88,20 @@
     under_way: int = 0
     # Requests that waited there when it last told.
     waiting: int = 0
-    told_ms: int = 0
+    reported_ms: int = 0
 
-    def expected(self, now_ms: int) -> float:
+    def expected_ahead(self, now_ms: int) -> float:
         """Return how many requests are ahead of a new one."""
-        age_ms = now_ms - self.told_ms
-        return self.under_way + self.waiting * 0.5 ** (age_ms / LOAD_HALF_MS)
+        age_ms = now_ms - self.reported_ms
+        return self.under_way + self.waiting * 0.5 ** (
+            age_ms / LOAD_HALF_LIFE_MS
+        )
 
 
 Weigh = collections.abc.Callable[[str], float | None]
 
 
-def next_place(
+def next_owner(
     plan: Plan,
     owned: ownership.Ownership,
     name: str,
@@ -112,17 +114,17 @@
     `weigh` returns how many requests are ahead at a place, None for one that
     cannot be reached. `turn` spreads requests over equals.
     """
-    if len(plan.tried) >= MOST_PLACES:
+    if len(plan.tried) >= MAX_ATTEMPTS:
         return None
     costs: dict[str, float] = {}
     for owner in owned.owners:
-        place = HERE if owner.name == name else owner.name
+        place = THIS_PROXY if owner.name == name else owner.name
         ahead = weigh(place)
         if place in plan.tried or ahead is None:
             continue
-        if place != HERE:
+        if place != THIS_PROXY:
             near = owner.data_centre == data_centre
-            ahead += HOP_COST if near else FOREIGN_COST
+            ahead += HOP_COST if near else REMOTE_HOP_COST
         costs[place] = ahead
     if not costs:
         return None
@@ -135,11 +137,11 @@
     """Say whether a place's answer is the request's, wherever else it went."""
     if request.goes_on or not isinstance(outcome, outcomes.NotRun):
         return True
-    return outcome.reason not in CANNOT
+    return outcome.reason not in FORWARDABLE_REASONS
 
 
-def judge_lost(
-    request: messages.Request, lost: Lost
+def lost_link_outcome(
+    request: messages.Request, lost: LinkLost
 ) -> outcomes.Outcome | None:
     """Return the answer if a link that ended decides it."""
     commits = request.statement.verb is statements.Verb.COMMIT
@@ -153,13 +155,13 @@
     return None
 
 
-def unconfigured() -> outcomes.NotRun:
+def unconfigured_outcome() -> outcomes.NotRun:
     """Return the refusal where no configuration names the service."""
     return outcomes.NotRun(Reason.NO_CONFIGURATION, UNCONFIGURED_RETRY_MS)
 
 
-def give_up(plan: Plan) -> outcomes.Outcome:
+def final_outcome(plan: Plan) -> outcomes.Outcome:
     """Return the answer once nowhere is left to try."""
     if plan.last is not None:
         return plan.last
-    return outcomes.NotRun(Reason.NO_OWNER, RETRY_MS)
+    return outcomes.NotRun(Reason.NO_OWNER, NO_OWNER_RETRY_MS)
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -17,17 +17,17 @@
 
 __all__ = [
     'add_sample',
-    'forget_samples',
-    'newest_ms',
-    'place_at',
+    'discard_samples',
+    'newest_sample_ms',
+    'position_at',
     'required_place',
 ]
 
 # Beyond the longest staleness in use a sample is worth nothing, except the
 # newest of those, which nothing younger replaces.
-KEPT_MS = 10_000
+SAMPLE_RETENTION_MS = 10_000
 # Samples closer together than this add nothing to the choice of a place.
-APART_MS = 50
+SAMPLE_SPACING_MS = 50
 
 _sent_ms = operator.attrgetter('sent_ms')
 
@@ -41,19 +41,19 @@
     samples = state.samples
     if samples and sample.place < samples[-1].place:
         return
-    if samples and sample.sent_ms - samples[-1].sent_ms < APART_MS:
+    if samples and sample.sent_ms - samples[-1].sent_ms < SAMPLE_SPACING_MS:
         return
     samples.append(sample)
-    while samples[0].sent_ms < sample.sent_ms - KEPT_MS:
+    while samples[0].sent_ms < sample.sent_ms - SAMPLE_RETENTION_MS:
         samples.popleft()
 
 
-def newest_ms(state: states.GroupState) -> int | None:
+def newest_sample_ms(state: states.GroupState) -> int | None:
     """Return when the newest sample was sent."""
     return state.samples[-1].sent_ms if state.samples else None
 
 
-def place_at(
+def position_at(
     state: states.GroupState, at_ms: int
 ) -> log_positions.LogPosition | None:
     """Return where the present primary's log stood at a time.
@@ -68,7 +68,7 @@
     return None
 
 
-def forget_samples(state: states.GroupState) -> None:
+def discard_samples(state: states.GroupState) -> None:
     """Trust no age: this process stood still, or its group began anew."""
     state.samples.clear()
     state.pending.clear()
--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -5,15 +5,14 @@
 from topazring.core import groups
 from topazring.core import outcomes
 from topazring.core.synchronous import arrival
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import duty
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import expiry
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import isolation
-from topazring.core.synchronous import line_report
 from topazring.core.synchronous import member_replies
 from topazring.core.synchronous import membership
 from topazring.core.synchronous import messages
@@ -23,6 +22,7 @@
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import prospects
 from topazring.core.synchronous import questions
+from topazring.core.synchronous import queue_report
 from topazring.core.synchronous import results
 from topazring.core.synchronous import state as states
 
@@ -101,7 +101,7 @@
     outs += primary.settle(state, now_ms)
     outs += connections.ensure(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
-    return outs + dispatch.run(state, now_ms)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 def _go_on_promoting(state: states.GroupState, now_ms: int) -> list:
@@ -144,7 +144,7 @@
     outs += primary.ask_claims(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
     outs += connections.ensure(state, now_ms)
-    return outs + dispatch.run(state, now_ms)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 @_handles(messages.Replied)
@@ -157,11 +157,11 @@
     if connection.errand is states.Errand.CONTROL:
         outs = _control_replied(state, now_ms, connection, message)
     else:
-        outs = results.replied(state, now_ms, connection, message)
+        outs = results.handle_replies(state, now_ms, connection, message)
         outs += duty.fence(state, now_ms)
-    outs += fates.answer_proved(state, now_ms)
+    outs += completion.answer_proven(state, now_ms)
     outs += primary.ask_claims(state, now_ms)
-    return outs + dispatch.run(state, now_ms)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 def _control_replied(
@@ -170,7 +170,9 @@
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
-    outs = results.note_places(state, now_ms, connection, message.replies)
+    outs = results.record_log_positions(
+        state, now_ms, connection, message.replies
+    )
     reply = message.replies[-1]
     outs += member_replies.control_replied(state, now_ms, connection, reply)
     if connection.upstream not in state.upstreams:
@@ -186,9 +188,9 @@
     connection = state.connections.get(message.connection)
     if connection is None:
         return []
-    outs = results.closed(state, now_ms, connection, message)
+    outs = results.handle_closed(state, now_ms, connection, message)
     outs += connections.ensure(state, now_ms)
-    return outs + dispatch.run(state, now_ms)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 @_handles(messages.Tick)
@@ -199,10 +201,10 @@
     if message.paused_ms >= PAUSE_MS:
         outs += _wake(state, now_ms, message.paused_ms)
     outs += isolation.update(state, now_ms)
-    outs += line_report.tell(state, now_ms)
+    outs += queue_report.report_long_waits(state, now_ms)
     outs += expiry.expire(state, now_ms)
     outs += expiry.expire_connections(state, now_ms)
-    outs += fates.answer_proved(state, now_ms)
+    outs += completion.answer_proven(state, now_ms)
     outs += membership.close_leaving(state, now_ms)
     outs += promotion.tick(state, now_ms)
     outs += _guard(state, now_ms)
@@ -210,7 +212,7 @@
     outs += connections.grow_share(state, now_ms)
     outs += connections.trim(state, now_ms)
     outs += connections.ensure(state, now_ms)
-    return outs + dispatch.run(state, now_ms)
+    return outs + dispatch.start_waiting(state, now_ms)
 
 
 def _notice_pause(
@@ -244,7 +246,7 @@
     outs: list = []
     if paused_ms >= DUTY_PAUSE_MS:
         outs = duty.duty_seen(state, now_ms, messages.DutySeen(False))
-    freshness.forget_samples(state)
+    freshness.discard_samples(state)
     for upstream in state.upstreams.values():
         upstream.unheard_since_ms = None
         upstream.failed_dials = 0
@@ -266,7 +268,7 @@
         period_ms = SAMPLE_MS
     if now_ms - state.guarded_ms < period_ms:
         return []
-    newest_ms = freshness.newest_ms(state)
+    newest_ms = freshness.newest_sample_ms(state)
     if not searching and not state.holds_duty and newest_ms is not None:
         if now_ms - newest_ms < period_ms:
             return []
@@ -315,13 +317,13 @@
 ) -> list:
     outs: list = []
     for work in list(state.work.values()):
-        outs += fates.give_up(
+        outs += completion.give_up(
             state,
             now_ms,
             work,
             outcomes.Reason.DRAINING,
             0,
-            maybe_ran=fates.may_have_run(work),
+            maybe_ran=completion.may_have_run(work),
         )
     for connection in list(state.connections.values()):
         outs += connections.drop(state, connection)
--- a/topazring/core/synchronous/questions.py
+++ b/topazring/core/synchronous/questions.py
@@ -55,7 +55,7 @@
         return []
     upstream.asked_ms = upstream.report_asked_ms = now_ms
     errand = states.Errand.LOOK
-    return [connections.send(free[0], now_ms, errand, exchanges.REPORT)]
+    return [connections.send(free[0], now_ms, errand, exchanges.STATUS_QUERY)]
 
 
 def guard(
@@ -67,7 +67,9 @@
         return []
     upstream.asked_ms = now_ms
     errand = states.Errand.GUARD
-    return [connections.send(free[0], now_ms, errand, exchanges.GUARD)]
+    return [
+        connections.send(free[0], now_ms, errand, exchanges.LEADERSHIP_CHECK)
+    ]
 
 
 def _ask_holders(state: states.GroupState, now_ms: int) -> list[messages.Send]:
@@ -106,7 +108,7 @@
 
 
 def _needs_sample(state: states.GroupState, now_ms: int) -> bool:
-    newest_ms = freshness.newest_ms(state)
+    newest_ms = freshness.newest_sample_ms(state)
     return newest_ms is None or now_ms - newest_ms >= WITNESS_SAMPLE_MS
 
 
--- a/topazring/core/synchronous/line_report.py
+++ b/topazring/core/synchronous/queue_report.py
@@ -13,16 +13,16 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
-__all__ = ['Use', 'tell', 'uses']
+__all__ = ['ConnectionUse', 'report_long_waits', 'count_uses']
 
 # A calm line moves on within a few statements of 10 to 20 ms.
-LONG_MS = 100
+LONG_WAIT_MS = 100
 # A line of some 600 bytes: 0.6 KB/s for a group that is in trouble, nothing
 # for others.
 PERIOD_MS = 1000
 
 
-class Use(enum.StrEnum):
+class ConnectionUse(enum.StrEnum):
     """Name what a connection to an upstream is used for."""
 
     OPENING = 'opening'
@@ -36,7 +36,9 @@
     OTHER = 'other'
 
 
-def uses(state: states.GroupState, upstream: str) -> collections.Counter[Use]:
+def count_uses(
+    state: states.GroupState, upstream: str
+) -> collections.Counter[ConnectionUse]:
     """Count the connections to an upstream by what they are used for."""
     return collections.Counter(
         _use(connection)
@@ -44,25 +46,35 @@
     )
 
 
-def _use(connection: states.Connection) -> Use:
+def _use(connection: states.Connection) -> ConnectionUse:
     if connection.phase is states.Phase.OPENING:
-        return Use.OPENING
+        return ConnectionUse.OPENING
     if connection.phase is states.Phase.IDLE:
-        return Use.PAUSING if connection.transaction else Use.IDLE
+        return (
+            ConnectionUse.PAUSING
+            if connection.transaction
+            else ConnectionUse.IDLE
+        )
     if connection.errand is states.Errand.BEGINNING:
-        return Use.WORKING
+        return ConnectionUse.WORKING
     if connection.errand is not states.Errand.STATEMENT:
-        return Use.OTHER
-    return Use.WORKING if connection.transaction else Use.STATEMENTS
+        return ConnectionUse.OTHER
+    return (
+        ConnectionUse.WORKING
+        if connection.transaction
+        else ConnectionUse.STATEMENTS
+    )
 
 
-def tell(state: states.GroupState, now_ms: int) -> list[messages.Decided]:
+def report_long_waits(
+    state: states.GroupState, now_ms: int
+) -> list[messages.Decided]:
     """Tell how the line stands if somebody waits for long."""
     if now_ms - state.line_told_ms < PERIOD_MS:
         return []
     line = [work for work in state.work.values() if work.queued]
     since_ms = min((work.request.arrived_ms for work in line), default=now_ms)
-    if now_ms - since_ms < LONG_MS:
+    if now_ms - since_ms < LONG_WAIT_MS:
         return []
     state.line_told_ms = now_ms
     inputs = {'oldest_ms': now_ms - since_ms, **_describe(state, now_ms, line)}
@@ -74,7 +86,7 @@
 ) -> dict[str, object]:
     """Return who waits for what, and what each upstream is used for."""
     for_primary = sum(work.primary_only for work in line)
-    newest_ms = freshness.newest_ms(state)
+    newest_ms = freshness.newest_sample_ms(state)
     return {
         'for_primary': for_primary,
         'of_them_reads_moved': sum(work.is_moved for work in line),
@@ -92,8 +104,8 @@
 def _describe_upstream(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> str:
-    counted = uses(state, upstream.name)
-    told = ' '.join(f'{use} {counted[use]}' for use in Use)
+    counted = count_uses(state, upstream.name)
+    told = ' '.join(f'{use} {counted[use]}' for use in ConnectionUse)
     told += f' ms {upstream.service_ms:.0f}'
     if states.lacks_lately(upstream, now_ms):
         told += f' lacks {upstream.lacked}'
--- a/topazring/core/synchronous/waiting.py
+++ b/topazring/core/synchronous/request_queues.py
@@ -8,7 +8,15 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
-__all__ = ['add', 'ahead_of', 'count', 'heads', 'is_any', 'remove', 'take']
+__all__ = [
+    'add',
+    'count_ahead',
+    'count',
+    'service_order',
+    'has_any',
+    'remove',
+    'dequeue',
+]
 
 
 def _queues(
@@ -39,13 +47,13 @@
     work.queued = False
 
 
-def is_any(state: states.GroupState, primary_only: bool) -> bool:
+def has_any(state: states.GroupState, primary_only: bool) -> bool:
     """Say whether any request waits for the primary, or for whichever."""
     queues = _queues(state, primary_only)
     return any(admission.size(queue) for queue in queues.values())
 
 
-def heads(state: states.GroupState, primary_only: bool) -> list[int]:
+def service_order(state: states.GroupState, primary_only: bool) -> list[int]:
     """Return the waiting requests in the order in which to serve them."""
     keys = []
     queues = _queues(state, primary_only)
@@ -58,7 +66,7 @@
     return keys
 
 
-def take(state: states.GroupState, now_ms: int, work: states.Work) -> None:
+def dequeue(state: states.GroupState, now_ms: int, work: states.Work) -> None:
     """Take a request out of its line because it goes to work."""
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
@@ -80,7 +88,7 @@
     )
 
 
-def ahead_of(
+def count_ahead(
     state: states.GroupState, primary_only: bool, policy: messages.Policy
 ) -> int:
     """Return how many waiting requests go before a new one of a policy."""
--- a/topazring/core/synchronous/restart.py
+++ b/topazring/core/synchronous/restart.py
@@ -7,7 +7,7 @@
 """
 
 from topazring.core import outcomes
-from topazring.core.synchronous import fates
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import state as states
 
 __all__ = ['outcome_of', 'successor']
@@ -28,7 +28,7 @@
     if work is None:
         return outcomes.Unknown(reason)
     was_sent = work.offered_ms is not None
-    return fates.unserved(work, reason, RETRY_MS, was_sent)
+    return completion.unserved_outcome(work, reason, RETRY_MS, was_sent)
 
 
 def successor(state: states.GroupState) -> states.GroupState:
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -5,11 +5,11 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core import retries
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import exchanges
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import pace
 from topazring.core.synchronous import primary
@@ -19,7 +19,12 @@
 from topazring.core.synchronous import statements
 from topazring.core.synchronous import transactions
 
-__all__ = ['LACKED_PAUSE_MS', 'closed', 'note_places', 'replied']
+__all__ = [
+    'LAGGING_PAUSE_MS',
+    'handle_closed',
+    'record_log_positions',
+    'handle_replies',
+]
 
 Reason = outcomes.Reason
 Code = statements.Code
@@ -32,10 +37,10 @@
 # A replica that lacked a place is not asked for it again until then, a usual
 # lag being 60 ms. The pause doubles each time: one that applies a hundred
 # times as late as usual refused a tenth of all that was sent.
-LACKED_PAUSE_MS = 80
-MOST_LACKED_PAUSE_MS = 1280
+LAGGING_PAUSE_MS = 80
+MAX_LAGGING_PAUSE_MS = 1280
 SERVICE_WEIGHT = 0.1
-LEAST_SERVICE_MS = 1.0
+MIN_SERVICE_MS = 1.0
 
 Handler = collections.abc.Callable[
     [states.GroupState, int, states.Connection, messages.Replied], list
@@ -53,19 +58,19 @@
     return register
 
 
-def replied(
+def handle_replies(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
     """Take in the replies to what a connection was sent."""
-    outs = note_places(state, now_ms, connection, message.replies)
+    outs = record_log_positions(state, now_ms, connection, message.replies)
     handler = _errands[connection.errand]
     return outs + handler(state, now_ms, connection, message)
 
 
-def note_places(
+def record_log_positions(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -142,13 +147,13 @@
     work = state.work.get(connection.work)
     last = message.replies[-1]
     commands = connection.commands
-    refusal = exchanges.guard_refused(commands, message.replies)
+    refusal = exchanges.first_refusal(commands, message.replies)
     if refusal is None and last.code is not None:
         refusal = last
     if work is None or refusal is not None and last.code is None:
         # Begun for nobody, or behind a guard that was refused.
         connections.make_idle(connection, now_ms)
-        outs = dispatch.undo(state, now_ms, connection)
+        outs = dispatch.roll_back(state, now_ms, connection)
     elif refusal is not None:
         outs = settling.release(state, now_ms, connection, last)
     else:
@@ -170,7 +175,7 @@
     _note_service(state, now_ms, connection, last)
     work = state.work.get(connection.work)
     commands = connection.commands
-    refusal = exchanges.guard_refused(commands, message.replies)
+    refusal = exchanges.first_refusal(commands, message.replies)
     if connection.transaction:
         return transactions.ran(state, now_ms, connection, work, last)
     outs = settling.release(state, now_ms, connection, last)
@@ -203,7 +208,7 @@
         return
     took_ms = now_ms - connection.sent_ms
     upstream.service_ms += (took_ms - upstream.service_ms) * SERVICE_WEIGHT
-    upstream.service_ms = max(LEAST_SERVICE_MS, upstream.service_ms)
+    upstream.service_ms = max(MIN_SERVICE_MS, upstream.service_ms)
     upstream.service_told_ms = now_ms
     pace.adjust_room(state, upstream)
     upstream.lacked_pause_ms = 0
@@ -220,12 +225,14 @@
 ) -> list:
     request = work.request
     if request.writes:
-        return fates.confirmed(state, now_ms, work, connection, reply)
+        return completion.acknowledge_when_durable(
+            state, now_ms, work, connection, reply
+        )
     at_primary = connection.upstream == state.primary
     where = 'primary' if at_primary else 'replica'
     state.counters[f'read_{request.policy.freshness}_at_{where}'] += 1
     needs_ms = proofs.needed_ms(commands, request)
-    return fates.done(state, work, connection, reply, needs_ms)
+    return completion.answer_success(state, work, connection, reply, needs_ms)
 
 
 def _not_run(
@@ -245,24 +252,24 @@
         if upstream is not None:
             _note_lacked(now_ms, upstream, commands)
         work.passed_over.add(connection.upstream)
-        return fates.requeue(state, now_ms, work, Reason.REPLICA_BEHIND)
+        return completion.requeue(state, now_ms, work, Reason.REPLICA_BEHIND)
     if reply.code is Code.READ_ONLY:
         outs = []
         if upstream is not None:
             outs = primary.note_refuted(state, now_ms, upstream)
-        return outs + fates.requeue(
+        return outs + completion.requeue(
             state, now_ms, work, Reason.REPLACED, READ_ONLY_PAUSE_MS
         )
     if reply.code is Code.NO_STATEMENT:
         # Its prepared names are not what was believed.
         connection.prepared.clear()
-        return fates.requeue(state, now_ms, work, Reason.NO_STATEMENT)
+        return completion.requeue(state, now_ms, work, Reason.NO_STATEMENT)
     if reply.code is Code.BUSY:
         if upstream is not None:
             upstream.busy_until_ms = now_ms + BUSY_PAUSE_MS
             pace.lessen_room(state, upstream)
-        return fates.requeue(state, now_ms, work, Reason.SLOTS_BUSY)
-    return fates.requeue(
+        return completion.requeue(state, now_ms, work, Reason.SLOTS_BUSY)
+    return completion.requeue(
         state, now_ms, work, Reason.UPSTREAM_FAILED, BUSY_PAUSE_MS
     )
 
@@ -279,8 +286,8 @@
             upstream.lacked = after
             upstream.lacked_ms = now_ms
     upstream.lacked_pause_ms = min(
-        max(LACKED_PAUSE_MS, upstream.lacked_pause_ms * 2),
-        MOST_LACKED_PAUSE_MS,
+        max(LAGGING_PAUSE_MS, upstream.lacked_pause_ms * 2),
+        MAX_LAGGING_PAUSE_MS,
     )
 
 
@@ -296,21 +303,21 @@
         return []
     if not work.request.writes and retries.spend(state.budget):
         work.passed_over.add(connection.upstream)
-        return fates.requeue(state, now_ms, work, Reason.UPSTREAM_FAILED)
+        return completion.requeue(state, now_ms, work, Reason.UPSTREAM_FAILED)
     reason = Reason.UPSTREAM_FAILED
     if reply.code is Code.TIMEOUT:
         reason = Reason.UPSTREAM_TIMEOUT
-    return fates.answer(state, work, outcomes.Unknown(reason))
+    return completion.answer(state, work, outcomes.Unknown(reason))
 
 
-def closed(
+def handle_closed(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
     message: messages.Closed,
 ) -> list:
     """Take in the end of a connection and what it means for its work."""
-    outs = note_places(state, now_ms, connection, message.replies)
+    outs = record_log_positions(state, now_ms, connection, message.replies)
     outs += connections.closed(state, now_ms, connection, message)
     work = state.work.get(connection.work)
     if work is None or work.running or work.ready is not None:
@@ -331,7 +338,7 @@
     if request.goes_on:
         # Before its COMMIT the transaction is undone with its connection.
         commits = request.statement.verb is statements.Verb.COMMIT
-        return fates.give_up(
+        return completion.give_up(
             state,
             now_ms,
             work,
@@ -339,8 +346,8 @@
             0,
             maybe_ran=True,
         )
-    if fates.keeps_nothing(work) or not begun:
+    if completion.has_no_lasting_effect(work) or not begun:
         if retries.spend(state.budget):
             work.passed_over.add(connection.upstream)
-            return fates.requeue(state, now_ms, work, reason)
-    return fates.give_up(state, now_ms, work, reason, 0, maybe_ran=begun)
+            return completion.requeue(state, now_ms, work, reason)
+    return completion.give_up(state, now_ms, work, reason, 0, maybe_ran=begun)
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -11,25 +11,25 @@
 from topazring.core.synchronous import state as states
 
 __all__ = [
-    'Room',
+    'ReadCapacity',
     'best_connection',
     'candidates',
-    'choose',
-    'choose_free',
-    'fresh_among',
-    'fresh_enough',
-    'look',
-    'takes',
+    'choose_connection',
+    'choose_free_connection',
+    'filter_fresh',
+    'fresh_upstreams',
+    'read_capacity',
+    'accepts_request',
 ]
 
 # A read goes to another data centre, or to the primary, only if it is
 # served sooner there by this. Bytes between data centres cost money and the
 # primary alone can take writes; both are worth some waiting, and a typical
 # statement takes 10 to 20 ms.
-FOREIGN_COST_MS = 12.0
+REMOTE_COST_MS = 12.0
 PRIMARY_COST_MS = 6.0
 # A replica that hung for some seconds is tried again within about three.
-SLOW_HALF_MS = 500
+SERVICE_HALF_LIFE_MS = 500
 
 
 def candidates(
@@ -43,10 +43,10 @@
     place = freshness.required_place(state, work.request)
     if place is None:
         return only
-    return fresh_enough(state, now_ms, work, place) or only
+    return fresh_upstreams(state, now_ms, work, place) or only
 
 
-def fresh_enough(
+def fresh_upstreams(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
@@ -54,10 +54,10 @@
 ) -> list[states.Upstream]:
     """Return the upstreams that may serve a read that has to see a place."""
     readable = _readable(state, now_ms)
-    return fresh_among(state, now_ms, work, place, readable)
+    return filter_fresh(state, now_ms, work, place, readable)
 
 
-def fresh_among(
+def filter_fresh(
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
@@ -106,7 +106,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
+class ReadCapacity:
     """Hold what is the same for all that wait, until one is served."""
 
     readable: list[states.Upstream]
@@ -114,18 +114,18 @@
     free: frozenset[str]
 
 
-def look(state: states.GroupState, now_ms: int) -> Room:
+def read_capacity(state: states.GroupState, now_ms: int) -> ReadCapacity:
     """Return which upstreams serve reads, and which have room."""
     readable = _readable(state, now_ms)
     free = frozenset(
         upstream.name
         for upstream in readable
-        if takes(state, now_ms, upstream)
+        if accepts_request(state, now_ms, upstream)
     )
-    return Room(readable, free)
+    return ReadCapacity(readable, free)
 
 
-def takes(
+def accepts_request(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
     """Say whether an upstream takes another request, whichever it is."""
@@ -137,18 +137,22 @@
     return pace.has_room(state, now_ms, upstream)
 
 
-def choose(
+def choose_connection(
     state: states.GroupState,
     now_ms: int,
     among: list[states.Upstream],
     work: states.Work,
 ) -> states.Connection | None:
     """Return a free connection to the upstream expected to answer first."""
-    free = [upstream for upstream in among if takes(state, now_ms, upstream)]
-    return choose_free(state, now_ms, free, work) if free else None
+    free = [
+        upstream
+        for upstream in among
+        if accepts_request(state, now_ms, upstream)
+    ]
+    return choose_free_connection(state, now_ms, free, work) if free else None
 
 
-def choose_free(
+def choose_free_connection(
     state: states.GroupState,
     now_ms: int,
     free: list[states.Upstream],
@@ -177,7 +181,7 @@
     )
     expected_ms = _service_ms(now_ms, upstream) * (1 + 0.5 * in_use)
     if upstream.data_centre != state.data_centre:
-        expected_ms += FOREIGN_COST_MS
+        expected_ms += REMOTE_COST_MS
     if upstream.name == state.primary:
         expected_ms += PRIMARY_COST_MS
     return expected_ms
@@ -193,7 +197,9 @@
     if excess_ms <= 0:
         return upstream.service_ms
     age_ms = now_ms - upstream.service_told_ms
-    return states.TYPICAL_MS + excess_ms * 0.5 ** (age_ms / SLOW_HALF_MS)
+    return states.TYPICAL_MS + excess_ms * 0.5 ** (
+        age_ms / SERVICE_HALF_LIFE_MS
+    )
 
 
 def _stalled(
--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -7,11 +7,11 @@
 
 from topazring.core import log_positions
 from topazring.core.synchronous import attempts
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import departures
 from topazring.core.synchronous import duty
 from topazring.core.synchronous import exchanges
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import membership
@@ -59,14 +59,14 @@
         commands.append(exchanges.statement_command(request, after))
         return tuple(commands)
 
-    return mock.patch.object(exchanges, 'single', unguarded)
+    return mock.patch.object(exchanges, 'single_commands', unguarded)
 
 
 @_ablation
 def _use_answer_behind_refused_guard():
     """Take the answer of a read whose guard was refused."""
     return mock.patch.object(
-        exchanges, 'guard_refused', lambda commands, replies: None
+        exchanges, 'first_refusal', lambda commands, replies: None
     )
 
 
@@ -96,14 +96,14 @@
 @_ablation
 def _proof_of_whoever_leads_now():
     """Judge an answer by the lead of another upstream."""
-    done = fates.done
+    done = completion.answer_success
 
     def careless(state, work, connection, reply, needs_ms=None):
         if needs_ms is not None and needs_ms <= proofs.proven_ms(state):
             needs_ms = None
         return done(state, work, connection, reply, needs_ms)
 
-    return mock.patch.object(fates, 'done', careless)
+    return mock.patch.object(completion, 'answer_success', careless)
 
 
 @_ablation
@@ -149,7 +149,9 @@
 @_soon
 def _resend_writes():
     """Send a write again whose answer was lost."""
-    return mock.patch.object(fates, 'keeps_nothing', lambda work: True)
+    return mock.patch.object(
+        completion, 'has_no_lasting_effect', lambda work: True
+    )
 
 
 @_ablation
@@ -230,7 +232,7 @@
 @_soon_through_entries
 def _leave_requests_of_lost_entries():
     """Undo a withdrawn transaction, but not what waits for it."""
-    return mock.patch.object(fates, 'cancel', lambda state, work: [])
+    return mock.patch.object(completion, 'cancel', lambda state, work: [])
 
 
 @_ablation
--- a/topazring/core/synchronous/tests/crowd.py
+++ b/topazring/core/synchronous/tests/load_simulation.py
@@ -16,10 +16,10 @@
 from topazring.core.synchronous import ownership
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import crowd_callers
-from topazring.core.synchronous.tests import crowd_upstreams
 from topazring.core.synchronous.tests import fake_group
+from topazring.core.synchronous.tests import simulated_callers
 from topazring.core.synchronous.tests import simulated_time
+from topazring.core.synchronous.tests import simulated_upstreams
 
 Role = statements.Role
 
@@ -27,13 +27,15 @@
 CONNECT_MS = 12.0
 
 
-class Crowd(crowd_upstreams.UpstreamSide, simulated_time.SimulatedTime):
+class LoadSimulation(
+    simulated_upstreams.UpstreamSimulation, simulated_time.SimulatedTime
+):
     """Hold owners, upstreams, callers, and what is under way."""
 
     def __init__(
         self,
         seed: int,
-        kinds: tuple[crowd_callers.Kind, ...],
+        kinds: tuple[simulated_callers.OperationKind, ...],
         owners: int = 8,
         share: int = 3,
         slots: int = 3,
@@ -47,10 +49,10 @@
         self.rate = 1.0
         self.keys = itertools.count(1)
         self.upstreams = {
-            f'u{n}': crowd_upstreams.Upstream(
+            f'u{n}': simulated_upstreams.Upstream(
                 f'u{n}',
                 Role.PRIMARY if n == 1 else Role.REPLICA,
-                crowd_callers.CENTRES[n - 1],
+                simulated_callers.CENTRES[n - 1],
                 slots,
                 queue,
             )
@@ -59,7 +61,7 @@
         names = [f'o{n}' for n in range(owners)]
         self.owned = ownership.Ownership(
             tuple(
-                ownership.Proxy(name, crowd_callers.CENTRES[n % 3])
+                ownership.Proxy(name, simulated_callers.CENTRES[n % 3])
                 for n, name in enumerate(names)
             )
         )
@@ -67,7 +69,7 @@
         self.centre_of = {o.name: o.data_centre for o in self.owned.owners}
         self.waits: dict[tuple[str, int], object] = {}
         self.tallies = {
-            kind.policy.database: crowd_callers.Tally() for kind in kinds
+            kind.policy.database: simulated_callers.Tally() for kind in kinds
         }
         # What each entry knows of each owner.
         self.loads = [
@@ -96,9 +98,9 @@
     def forget(self) -> None:
         """Count anew from now on."""
         for name in self.tallies:
-            self.tallies[name] = crowd_callers.Tally()
+            self.tallies[name] = simulated_callers.Tally()
 
-    def replicas(self) -> list[crowd_upstreams.Upstream]:
+    def replicas(self) -> list[simulated_upstreams.Upstream]:
         """Return all upstreams but the primary."""
         return [
             upstream
@@ -124,7 +126,10 @@
             case messages.Send():
                 wire = self.wires.get((owner, out.connection))
                 self.at(
-                    crowd_upstreams.FAR_MS, self._arrive, wire, out.commands
+                    simulated_upstreams.REMOTE_DELAY_MS,
+                    self._arrive,
+                    wire,
+                    out.commands,
                 )
             case messages.Close():
                 wire = self.wires.pop((owner, out.connection), None)
@@ -143,9 +148,9 @@
 
     # ---- callers ----
 
-    def _come(self, kind: crowd_callers.Kind) -> None:
+    def _come(self, kind: simulated_callers.OperationKind) -> None:
         """Begin an operation, and say when the next one comes."""
         per_ms = kind.per_s * self.rate / 1000
         self.at(self.rng.expovariate(per_ms), self._come, kind)
         self.tallies[kind.policy.database].begun += 1
-        crowd_callers.Operation(self, kind).start()
+        simulated_callers.Operation(self, kind).start()
--- a/topazring/core/synchronous/tests/crowd_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -6,24 +6,24 @@
 from topazring.core import outcomes
 from topazring.core.synchronous import forwarding
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import sessions
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import crowd_upstreams
-from topazring.core.synchronous import waiting
+from topazring.core.synchronous.tests import simulated_upstreams
 
 Verb = statements.Verb
 
 CENTRES = ('a', 'b', 'c')
 # One way to an owner or an upstream, within and between data centres.
-NEAR_MS = 0.5
+LOCAL_DELAY_MS = 0.5
 # Two hops between data centres and a little of a busy process.
-AT_ONCE_MS = 60
+IMMEDIATE_MS = 60
 # Callers wait a little before they try again, whatever they are told.
-LEAST_BACKOFF_MS = 30
+MIN_BACKOFF_MS = 30
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
+class OperationKind:
     """Describe one kind of operation."""
 
     policy: messages.Policy
@@ -51,7 +51,7 @@
 class Operation:
     """Hold one caller's operation: a statement, or a transaction."""
 
-    def __init__(self, crowd, kind: Kind):
+    def __init__(self, crowd, kind: OperationKind):
         self.crowd = crowd
         self.kind = kind
         self.began_ms = crowd.now_ms
@@ -106,30 +106,32 @@
         place = self.owner
         if not request.goes_on:
             loads = crowd.loads[self.entry]
-            place = forwarding.next_place(
+            place = forwarding.next_owner(
                 plan,
                 crowd.owned,
                 '',
                 self.centre,
-                lambda name: loads[name].expected(crowd.now_ms),
+                lambda name: loads[name].expected_ahead(crowd.now_ms),
                 request.key,
             )
             if place is None:
-                self._answered(request, forwarding.give_up(plan))
+                self._answered(request, forwarding.final_outcome(plan))
                 return
             plan.tried.append(place)
             self.owner = place
         load = crowd.loads[self.entry][place]
         load.under_way += 1
         near = crowd.centre_of[place] == self.centre
-        hop_ms = NEAR_MS if near else crowd_upstreams.FAR_MS
+        hop_ms = (
+            LOCAL_DELAY_MS if near else simulated_upstreams.REMOTE_DELAY_MS
+        )
         crowd.at(hop_ms, self._submit, place, request, plan, load, hop_ms)
 
     def _submit(self, place, request, plan, load, hop_ms) -> None:
         crowd = self.crowd
 
         def take(outcome: outcomes.Outcome) -> None:
-            told = waiting.count(crowd.states[place])
+            told = request_queues.count(crowd.states[place])
             crowd.at(hop_ms, self._told, request, plan, load, told, outcome)
 
         crowd.waits[(place, request.key)] = take
@@ -138,7 +140,7 @@
     def _told(self, request, plan, load, told, outcome) -> None:
         load.under_way -= 1
         load.waiting = told
-        load.told_ms = int(self.crowd.now_ms)
+        load.reported_ms = int(self.crowd.now_ms)
         plan.last = outcome
         if forwarding.is_final(request, outcome):
             self._answered(request, outcome)
@@ -150,7 +152,7 @@
         tally = self.crowd.tallies[self.kind.policy.database]
         if not isinstance(outcome, outcomes.Done):
             waited_ms = self.crowd.now_ms - request.arrived_ms
-            if waited_ms < AT_ONCE_MS:
+            if waited_ms < IMMEDIATE_MS:
                 tally.refused_at_once += 1
             else:
                 tally.waited_in_vain += 1
@@ -162,7 +164,7 @@
     def _come_back(self, refusal: outcomes.NotRun) -> None:
         """Try again, in full, once that is worth it."""
         left_ms = self.kind.patience_ms - (self.crowd.now_ms - self.began_ms)
-        pause_ms = max(LEAST_BACKOFF_MS, refusal.retry_after_ms)
+        pause_ms = max(MIN_BACKOFF_MS, refusal.retry_after_ms)
         if not self.tries_left or pause_ms >= left_ms:
             return
         self.session = sessions.Session(0, self.kind.policy.database)
--- a/topazring/core/synchronous/tests/crowd_upstreams.py
+++ b/topazring/core/synchronous/tests/simulated_upstreams.py
@@ -12,7 +12,7 @@
 Role = statements.Role
 
 # One way between data centres.
-FAR_MS = 1.4
+REMOTE_DELAY_MS = 1.4
 # Replicas receive a commit after that long, and apply it later.
 RECEIVE_MS = 1.5
 # A replica's receipt comes back within a few ms.
@@ -47,7 +47,7 @@
         return log_positions.LogPosition(1, self.position)
 
 
-class UpstreamSide:
+class UpstreamSimulation:
     """Run commands on slots; `Crowd` gives time and connections."""
 
     def _arrive(self, wire, commands: tuple) -> None:
@@ -63,7 +63,7 @@
             return
         if not wire.inbox:
             replied = messages.Replied(wire.number, tuple(wire.replies))
-            self.at(FAR_MS, self._replied, wire, replied)
+            self.at(REMOTE_DELAY_MS, self._replied, wire, replied)
             return
         command = wire.inbox.popleft()
         upstream = self.upstreams[wire.upstream]
--- a/topazring/core/synchronous/tests/test_confirmations.py
+++ b/topazring/core/synchronous/tests/test_confirmations.py
@@ -163,7 +163,7 @@
         asked = {
             connection.upstream
             for connection in driver.busy()
-            if connection.commands == exchanges.REPORT
+            if connection.commands == exchanges.STATUS_QUERY
         }
         self.assertEqual({'u2', 'u3'}, asked)
 
@@ -177,7 +177,9 @@
         later = driver.running(second)
         driver.reply(later, support.ok('signed', place=Place(1, 7)))
         asked = [
-            c for c in driver.busy('u2') if c.commands == exchanges.REPORT
+            c
+            for c in driver.busy('u2')
+            if c.commands == exchanges.STATUS_QUERY
         ]
         self.assertEqual(2, len(asked))
         said = {'received': WITH, 'term': 1, 'held_term': 0}
--- a/topazring/core/synchronous/tests/test_forwarding.py
+++ b/topazring/core/synchronous/tests/test_forwarding.py
@@ -104,7 +104,7 @@
 
     def place(self, plan, name='p1', centre='b', weigh=idle, turn=0):
         """Return where a request goes next."""
-        return forwarding.next_place(
+        return forwarding.next_owner(
             plan, self.owned, name, centre, weigh, turn
         )
 
@@ -122,7 +122,7 @@
     def test_owner_serves_its_own_callers(self):
         """Without a hop."""
         plan = forwarding.Plan()
-        self.assertEqual(forwarding.HERE, self.place(plan, name='o3'))
+        self.assertEqual(forwarding.THIS_PROXY, self.place(plan, name='o3'))
 
     def test_own_data_centre_first(self):
         """Bytes between data centres cost money."""
@@ -152,16 +152,16 @@
     def test_busy_owner_lets_its_own_callers_go(self):
         """It is no better than another one that is idle."""
         plan = forwarding.Plan()
-        busy = {forwarding.HERE: 12.0}
+        busy = {forwarding.THIS_PROXY: 12.0}
         found = self.place(plan, name='o3', weigh=lambda n: busy.get(n, 0.0))
-        self.assertNotEqual(forwarding.HERE, found)
+        self.assertNotEqual(forwarding.THIS_PROXY, found)
 
     def test_what_was_told_of_a_line_ages(self):
         """One that is not asked any more is tried again."""
-        load = forwarding.Load(waiting=16, told_ms=1000)
-        self.assertEqual(16, load.expected(1000))
-        later_ms = 1000 + 5 * forwarding.LOAD_HALF_MS
-        self.assertLess(load.expected(later_ms), forwarding.HOP_COST)
+        load = forwarding.Load(waiting=16, reported_ms=1000)
+        self.assertEqual(16, load.expected_ahead(1000))
+        later_ms = 1000 + 5 * forwarding.LOAD_HALF_LIFE_MS
+        self.assertLess(load.expected_ahead(later_ms), forwarding.HOP_COST)
 
     def test_unreachable_owner_is_left_out(self):
         """Another data centre serves instead."""
@@ -177,7 +177,7 @@
         while the others serve. Sequence: a primary is cut off with them and
         replaced. Cause: serving only what one reaches oneself.
         """
-        plan = forwarding.Plan([forwarding.HERE])
+        plan = forwarding.Plan([forwarding.THIS_PROXY])
         refusal = outcomes.NotRun(Reason.NO_PRIMARY, 50)
         self.assertFalse(forwarding.is_final(self.request(), refusal))
         self.assertIsNotNone(self.place(plan, name='o3'))
@@ -202,8 +202,8 @@
             seen.append(place)
             plan.tried.append(place)
         self.assertEqual(len(set(seen)), len(seen))
-        self.assertEqual(forwarding.MOST_PLACES, len(seen))
-        self.assertIs(refusal, forwarding.give_up(plan))
+        self.assertEqual(forwarding.MAX_ATTEMPTS, len(seen))
+        self.assertIs(refusal, forwarding.final_outcome(plan))
 
     def test_lost_link(self):
         """What may have run is not run again.
@@ -225,8 +225,8 @@
             (commit, False, not_run),
             (later, True, not_run),
         ):
-            lost = forwarding.Lost(sent)
-            found = forwarding.judge_lost(request, lost)
+            lost = forwarding.LinkLost(sent)
+            found = forwarding.lost_link_outcome(request, lost)
             if expected is None:
                 self.assertIsNone(found)
             else:
@@ -236,6 +236,6 @@
         """Said at once, with when to come back."""
         plan = forwarding.Plan()
         self.assertIsNone(self.place(plan, weigh=lambda name: None))
-        refusal = forwarding.give_up(plan)
+        refusal = forwarding.final_outcome(plan)
         self.assertIs(Reason.NO_OWNER, refusal.reason)
         self.assertGreater(refusal.retry_after_ms, 0)
--- a/topazring/core/synchronous/tests/test_isolation.py
+++ b/topazring/core/synchronous/tests/test_isolation.py
@@ -16,7 +16,7 @@
     for connection in driver.busy():
         if connection.upstream not in names:
             continue
-        if connection.commands == exchanges.REPORT:
+        if connection.commands == exchanges.STATUS_QUERY:
             said = {'held_term': 0, **said}
             driver.reply(connection, support.report(**said))
         if connection.errand is not states.Errand.GUARD:
--- a/topazring/core/synchronous/tests/test_crowds.py
+++ b/topazring/core/synchronous/tests/test_load_simulation.py
@@ -10,8 +10,8 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import ownership
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import crowd
-from topazring.core.synchronous.tests import crowd_callers
+from topazring.core.synchronous.tests import load_simulation
+from topazring.core.synchronous.tests import simulated_callers
 
 SAVE = messages.Policy('save', 's', messages.Freshness.PRIMARY, 0, 800, 150, 1)
 BROWSE = messages.Policy(
@@ -29,24 +29,26 @@
 )
 
 
-def kinds(per_s: float) -> tuple[crowd_callers.Kind, ...]:
+def kinds(per_s: float) -> tuple[simulated_callers.OperationKind, ...]:
     """Return the customer's mix at a rate of all operations together."""
     return (
-        crowd_callers.Kind(
+        simulated_callers.OperationKind(
             SAVE, 0.15 * per_s, 6, writes=0.35, transactions=0.4
         ),
-        crowd_callers.Kind(
+        simulated_callers.OperationKind(
             BROWSE, 0.15 * per_s, 30, transactions=0.1, patience_ms=5000
         ),
-        crowd_callers.Kind(
+        simulated_callers.OperationKind(
             PULL, 0.7 * per_s, 18, writes=0.12, transactions=0.12
         ),
     )
 
 
-def played(per_s: float, replicas_lag_ms: float, seed: int) -> crowd.Crowd:
+def played(
+    per_s: float, replicas_lag_ms: float, seed: int
+) -> load_simulation.LoadSimulation:
     """Play 3 s of calm, uncounted, and 8 s with replicas that apply late."""
-    playing = crowd.Crowd(seed, kinds(per_s))
+    playing = load_simulation.LoadSimulation(seed, kinds(per_s))
     playing.run(3000)
     playing.forget()
     for upstream in playing.replicas():
@@ -98,20 +100,22 @@
     a seventh to a quarter of them by a full queue.
     """
 
-    def crowds(self) -> list[crowd.Crowd]:
+    def crowds(self) -> list[load_simulation.LoadSimulation]:
         """Play crowds before the owners that a fleet of 64 chooses."""
         proxies = [ownership.Proxy(f'p{n}', 'abc'[n % 3]) for n in range(64)]
         owners = len(ownership.settle('s', proxies, 94).owners)
         found = []
         for seed in (1, 2):
-            playing = crowd.Crowd(
+            playing = load_simulation.LoadSimulation(
                 seed,
                 (
-                    crowd_callers.Kind(
+                    simulated_callers.OperationKind(
                         POST, 36, 3, writes=0.35, transactions=0.25
                     ),
-                    crowd_callers.Kind(VIEW, 36, 15, transactions=0.1),
-                    crowd_callers.Kind(
+                    simulated_callers.OperationKind(
+                        VIEW, 36, 15, transactions=0.1
+                    ),
+                    simulated_callers.OperationKind(
                         BRACKET, 170, 9, writes=0.12, transactions=0.12
                     ),
                 ),
--- a/topazring/core/synchronous/tests/test_lost_answers.py
+++ b/topazring/core/synchronous/tests/test_lost_answers.py
@@ -109,6 +109,6 @@
                 c for c in driver.busy() if c.work == key and c is not first
             ]
         driver.reply(copies[0], support.ok('s'))
-        self.play(driver, expiry.SILENT_FOR_NOBODY_MS)
+        self.play(driver, expiry.SILENT_ABANDONED_MS)
         left = driver.state.connections.get(first.number)
         self.assertNotEqual(states.Phase.BUSY, left and left.phase)
--- a/topazring/core/synchronous/tests/test_line_report.py
+++ b/topazring/core/synchronous/tests/test_queue_report.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from topazring.core.synchronous import line_report
+from topazring.core.synchronous import queue_report
 from topazring.core.synchronous.tests import support
 
 Verb = support.Verb
@@ -57,7 +57,7 @@
         """The counts of an upstream add up to its connections."""
         driver, _ = self.standing()
         for name in driver.state.upstreams:
-            counted = line_report.uses(driver.state, name)
+            counted = queue_report.count_uses(driver.state, name)
             held = [
                 connection
                 for connection in driver.state.connections.values()
--- a/topazring/core/synchronous/tests/test_reads.py
+++ b/topazring/core/synchronous/tests/test_reads.py
@@ -154,7 +154,7 @@
                 driver.reply(connection, behind)
             for connection in driver.busy():
                 driver.reply(connection, support.ok('s'))
-            driver.now_ms += results.LACKED_PAUSE_MS + 1
+            driver.now_ms += results.LAGGING_PAUSE_MS + 1
         return driver
 
     def test_replica_that_lacked_a_place_is_left_alone(self):
@@ -167,7 +167,7 @@
         had been sent after that was forgotten.
         """
         driver = self.lagging(1)
-        driver.now_ms -= results.LACKED_PAUSE_MS
+        driver.now_ms -= results.LAGGING_PAUSE_MS
         _, outs = driver.submit(support.BOUNDED)
         self.assertNotIn('u2', sent_to(driver, outs))
 
--- a/topazring/core/synchronous/transactions.py
+++ b/topazring/core/synchronous/transactions.py
@@ -1,10 +1,10 @@
 """Take in what upstreams answered to statements of transactions."""
 
 from topazring.core import outcomes
+from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import exchanges
-from topazring.core.synchronous import fates
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import settling
@@ -71,7 +71,7 @@
     state.counters['late_result'] += 1
     state.transactions.pop(connection.transaction, None)
     connections.make_idle(connection, now_ms)
-    return dispatch.undo(state, now_ms, connection)
+    return dispatch.roll_back(state, now_ms, connection)
 
 
 def _statement_done(
@@ -86,7 +86,7 @@
         transaction.wrote = True
     connections.make_idle(connection, now_ms)
     needs_ms = None if work.request.writes else transaction.needs_ms
-    return fates.done(state, work, connection, reply, needs_ms)
+    return completion.answer_success(state, work, connection, reply, needs_ms)
 
 
 def _committed(
@@ -100,8 +100,10 @@
     state.transactions.pop(work.request.transaction, None)
     outs = settling.release(state, now_ms, connection, reply)
     if transaction.wrote:
-        return outs + fates.confirmed(state, now_ms, work, connection, reply)
-    return outs + fates.done(state, work, connection, reply)
+        return outs + completion.acknowledge_when_durable(
+            state, now_ms, work, connection, reply
+        )
+    return outs + completion.answer_success(state, work, connection, reply)
 
 
 def _statement_failed(
@@ -127,14 +129,14 @@
     if reply.state is SessionState.IDLE:
         outs = settling.release(state, now_ms, connection, reply)
     else:
-        outs = dispatch.undo(state, now_ms, connection)
+        outs = dispatch.roll_back(state, now_ms, connection)
     upstream = state.upstreams.get(connection.upstream)
     if reply.code is Code.READ_ONLY and upstream is not None:
         outs += primary.note_refuted(state, now_ms, upstream)
     if reply.code in (Code.FAILED, Code.TIMEOUT, Code.OTHER):
-        return outs + fates.answer(
+        return outs + completion.answer(
             state, work, outcomes.Unknown(Reason.UPSTREAM_FAILED)
         )
-    return outs + fates.give_up(
+    return outs + completion.give_up(
         state, now_ms, work, Reason.TRANSACTION_LOST, 0
     )
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -234,7 +234,7 @@
             detail = 'the session has started already'
             return outcomes.Rejected(Reason.BAD_STATEMENT, detail)
         if not self.host.configured():
-            return forwarding.unconfigured()
+            return forwarding.unconfigured_outcome()
         if self.host.policy(start.database) is None:
             detail = 'no such database'
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, detail)
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -58,7 +58,7 @@
         request: messages.Request,
         deadline_ms: int,
         load: forwarding.Load,
-    ) -> outcomes.Outcome | forwarding.Lost:
+    ) -> outcomes.Outcome | forwarding.LinkLost:
         """Return the answer, or that the link was lost before it.
 
         `load` is brought up to date with what the owner tells of its line.
@@ -74,11 +74,11 @@
         request: messages.Request,
         deadline_ms: int,
         load: forwarding.Load,
-    ) -> outcomes.Outcome | forwarding.Lost:
+    ) -> outcomes.Outcome | forwarding.LinkLost:
         stream = await self._open()
         if stream is None or stream is not self.stream:
             # It has ended meanwhile, and whoever reads it has gone.
-            return forwarding.Lost(False)
+            return forwarding.LinkLost(False)
         number = next(self.numbers)
         answer = asyncio.get_running_loop().create_future()
         if not self.asked:
@@ -89,10 +89,10 @@
         left_ms = deadline_ms - clock.suspended_ms() - MARGIN_MS
         hop_frames.write(stream, hop_frames.Ask(number, left_ms, request))
         told = await answer
-        if isinstance(told, forwarding.Lost):
+        if isinstance(told, forwarding.LinkLost):
             return told
         outcome, load.waiting = told
-        load.told_ms = clock.suspended_ms()
+        load.reported_ms = clock.suspended_ms()
         return outcome
 
     def withdraw(self, service: str, transaction: int) -> None:
@@ -176,4 +176,4 @@
         asked, self.asked = self.asked, {}
         for answer in asked.values():
             if not answer.done():
-                answer.set_result(forwarding.Lost(True))
+                answer.set_result(forwarding.LinkLost(True))
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -13,8 +13,8 @@
 from topazring.core.synchronous import listing as listings
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import ownership
+from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import state as states
-from topazring.core.synchronous import waiting
 from topazring.plumbing import clock
 from topazring.plumbing import events
 from topazring.pooler import caller_server
@@ -150,7 +150,7 @@
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         group = self.groups.get(request.policy.service)
         if group is None:
-            return forwarding.unconfigured()
+            return forwarding.unconfigured_outcome()
         return await group.submit(request)
 
     async def serve_other(self, request: messages.Request) -> outcomes.Outcome:
@@ -166,7 +166,7 @@
     def waiting_here(self, service: str) -> int:
         """Return how many requests wait here for a service."""
         group = self.groups.get(service)
-        return 0 if group is None else waiting.count(group.state)
+        return 0 if group is None else request_queues.count(group.state)
 
     def withdraw_here(self, service: str, transaction: int) -> None:
         """Undo a transaction that was begun here."""
--- a/topazring/pooler/router.py
+++ b/topazring/pooler/router.py
@@ -95,13 +95,13 @@
             return await self._go_on(request)
         owned = self.owned.get(request.policy.service)
         if owned is None:
-            return forwarding.unconfigured()
+            return forwarding.unconfigured_outcome()
         plan = forwarding.Plan()
         deadline_ms = request.arrived_ms + request.policy.timeout_ms
         turn = next(self.turns)
         weigh = functools.partial(self._weigh, request.policy.service)
         while not self.closed and clock.suspended_ms() < deadline_ms:
-            place = forwarding.next_place(
+            place = forwarding.next_owner(
                 plan,
                 owned,
                 self.name,
@@ -115,15 +115,15 @@
             outcome = await self._try(plan, place, request)
             if outcome is not None:
                 return outcome
-        return forwarding.give_up(plan)
+        return forwarding.final_outcome(plan)
 
     async def _try(
         self, plan: forwarding.Plan, place: str, request: messages.Request
     ) -> outcomes.Outcome | None:
         """Try one place; None if the request is to go on elsewhere."""
         answer = await self._ask(place, request)
-        if isinstance(answer, forwarding.Lost):
-            return forwarding.judge_lost(request, answer)
+        if isinstance(answer, forwarding.LinkLost):
+            return forwarding.lost_link_outcome(request, answer)
         plan.last = answer
         if request.transaction and isinstance(answer, outcomes.Done):
             self.begun[request.transaction] = place
@@ -152,18 +152,18 @@
         ended = request.statement.verb.ends_transaction
         if ended or not isinstance(answer, outcomes.Done):
             self.begun.pop(request.transaction, None)
-        if isinstance(answer, forwarding.Lost):
-            return forwarding.judge_lost(request, answer)
+        if isinstance(answer, forwarding.LinkLost):
+            return forwarding.lost_link_outcome(request, answer)
         return answer
 
     async def _ask(
         self, place: str, request: messages.Request
-    ) -> outcomes.Outcome | forwarding.Lost:
-        if place == forwarding.HERE:
+    ) -> outcomes.Outcome | forwarding.LinkLost:
+        if place == forwarding.THIS_PROXY:
             return await self.local.serve_here(request)
         peer = self.peers.get(place)
         if peer is None:
-            return forwarding.Lost(False)
+            return forwarding.LinkLost(False)
         self.forwarded += 1
         deadline_ms = request.arrived_ms + request.policy.timeout_ms
         load = peer.load(request.policy.service)
@@ -175,10 +175,10 @@
         self,
         place: str,
         peer: _Peer,
-        answer: outcomes.Outcome | forwarding.Lost,
+        answer: outcomes.Outcome | forwarding.LinkLost,
     ) -> None:
         """Leave a proxy alone for a while that could not be reached."""
-        if not isinstance(answer, forwarding.Lost):
+        if not isinstance(answer, forwarding.LinkLost):
             peer.failures = 0
             return
         now_ms = clock.suspended_ms()
@@ -192,7 +192,7 @@
 
     def _weigh(self, service: str, place: str) -> float | None:
         """Return how many requests are ahead there, None if not reachable."""
-        if place == forwarding.HERE:
+        if place == forwarding.THIS_PROXY:
             return self.local.waiting_here(service)
         peer = self.peers.get(place)
         now_ms = clock.suspended_ms()
@@ -200,12 +200,12 @@
             return None
         if now_ms < peer.cannot_until_ms.get(service, 0):
             return None
-        return peer.load(service).expected(now_ms)
+        return peer.load(service).expected_ahead(now_ms)
 
     def withdraw(self, service: str, transaction: int) -> None:
         """Undo a transaction wherever it was begun."""
         place = self.begun.pop(transaction, None)
-        if place == forwarding.HERE:
+        if place == forwarding.THIS_PROXY:
             self.local.withdraw_here(service, transaction)
         elif place is not None and place in self.peers:
             self.peers[place].link.withdraw(service, transaction)
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -117,7 +117,7 @@
                 answer = await link.ask(
                     request(), deadline_ms, forwarding.Load()
                 )
-        self.assertIsInstance(answer, forwarding.Lost)
+        self.assertIsInstance(answer, forwarding.LinkLost)
         link.close()
 
 
@@ -275,8 +275,8 @@
             while not self.owner.asked:
                 await asyncio.sleep(0.01)
             self.server.close()
-            self.assertEqual(forwarding.Lost(True), await asking)
-            self.assertEqual(forwarding.Lost(False), await self.ask())
+            self.assertEqual(forwarding.LinkLost(True), await asking)
+            self.assertEqual(forwarding.LinkLost(False), await self.ask())
 
         self.play(steps)
 
@@ -290,7 +290,7 @@
         async def steps():
             began_ms = clock.suspended_ms()
             with mock.patch.object(hop_server._Entry, 'take', lambda *_: None):
-                self.assertEqual(forwarding.Lost(True), await self.ask())
+                self.assertEqual(forwarding.LinkLost(True), await self.ask())
             took_ms = clock.suspended_ms() - began_ms
             self.assertGreaterEqual(took_ms, hop.SILENT_MS - 20)
 
@@ -318,7 +318,7 @@
 
         async def steps():
             self.owner.outcome = outcomes.NotRun('too_many_moons', 40)
-            self.assertEqual(forwarding.Lost(True), await self.ask())
+            self.assertEqual(forwarding.LinkLost(True), await self.ask())
 
         self.play(steps)
 
