--- a/topazring/core/synchronous/arrival.py
+++ b/topazring/core/synchronous/arrival.py
@@ -2,9 +2,9 @@
 
 from topazring.core import outcomes
 from topazring.core.synchronous import completion
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import prospects
 from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import routing
@@ -81,7 +81,7 @@
     if all(upstream.name == state.primary for upstream in able):
         # The primary's own line goes before it.
         ahead += at_primary
-    wait_ms = pace.expected_wait_ms(state, ahead, able)
+    wait_ms = concurrency_limit.expected_wait_ms(state, ahead, able)
     if not wait_ms:
         return 0.0
     return wait_ms + min(upstream.service_ms for upstream in able)
--- a/topazring/core/synchronous/asking.py
+++ b/topazring/core/synchronous/asking.py
@@ -20,15 +20,17 @@
 ) -> list:
     """Have members pause, or tell where their logs stand."""
     outs: list = []
-    for name in attempts.candidates(state, attempt):
+    for name in attempts.members_to_query(state, attempt):
         asked_ms = attempt.asked_ms.get(name)
-        again_ms = LOOK_MS if name == attempt.heir else ASK_AGAIN_MS
-        if name != attempt.heir and attempts.is_fresh(attempt, now_ms, name):
+        again_ms = LOOK_MS if name == attempt.successor else ASK_AGAIN_MS
+        if name != attempt.successor and attempts.has_fresh_report(
+            attempt, now_ms, name
+        ):
             continue
         if asked_ms is not None and now_ms - asked_ms < again_ms:
             continue
         command: statements.Command = statements.Pause(attempt.term)
-        if name == attempt.heir or attempt.looking:
+        if name == attempt.successor or attempt.is_query_only:
             command = statements.Status()
         elif _is_to_demote(state, attempt, name):
             command = statements.Demote(attempt.term)
@@ -46,9 +48,11 @@
 def _is_to_demote(
     state: states.GroupState, attempt: attempts.Attempt, name: str
 ) -> bool:
-    if name in attempt.replaced:
+    if name in attempt.stale_primaries:
         return True
-    return name == attempt.old and not evidence.began_again(state, name)
+    return name == attempt.old_primary and not evidence.began_again(
+        state, name
+    )
 
 
 def control(
@@ -62,7 +66,7 @@
     if free:
         errand = states.Errand.CONTROL
         return [connections.send(free[0], now_ms, errand, (command,))]
-    return connections.dial_extra(state, now_ms, upstream)
+    return connections.dial_beyond_share(state, now_ms, upstream)
 
 
 def resume(state: states.GroupState, now_ms: int) -> list:
--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -346,7 +346,7 @@
     if transaction is None:
         return []
     connection = state.connections[transaction.connection]
-    return list(connections.drop(state, connection))
+    return list(connections.close_connection(state, connection))
 
 
 def enqueue(state: states.GroupState, now_ms: int, work: states.Work) -> list:
--- a/topazring/core/synchronous/pace.py
+++ b/topazring/core/synchronous/concurrency_limit.py
@@ -13,44 +13,44 @@
 from topazring.core.synchronous import state as states
 
 __all__ = [
-    'adjust_room',
-    'begin',
-    'end',
+    'adjust_limit',
+    'start_hold',
+    'end_hold',
     'expected_wait_ms',
-    'has_room',
+    'has_capacity',
     'late_after_ms',
 ]
 
 # An estimate follows a change within some ten uses of a connection.
-KEPT_WEIGHT = 0.1
+HOLD_TIME_WEIGHT = 0.1
 # An upstream whose statements take so many times as long as when they need
 # not queue is given less at a time. In a played crowd before a primary that
 # has to serve alone 2.0 to 2.5 brought 65 to 74% of the operations in within
 # their goals, no bound 64%; a whole fleet's connections make a statement take
 # eight times as long, and a transaction has several.
-QUEUED_TIMES = 2.5
+QUEUED_FACTOR = 2.5
 # It is given a tenth less with each slow answer, and one connection more after
 # twenty quick ones.
-LESS = 0.9
-MORE = 0.05
+DECREASE_FACTOR = 0.9
+INCREASE_STEP = 0.05
 # And half with each refusal for a full queue. Of a played crowd's statements
 # that came to an upstream 3% were refused without it, 0.3% with it.
-REFUSED_LESS = 0.5
+REFUSED_DECREASE_FACTOR = 0.5
 # How fast a quick time is forgotten that is not seen any more: by half within
 # some 700 answers.
-QUICK_WEIGHT = 0.001
+BASELINE_WEIGHT = 0.001
 # An answer that takes so many usual times is late: a read is tried elsewhere
 # as well, and its connection is not counted as at work.
-LATE_TIMES = 4.0
-LEAST_LATE_MS = 60
+LATE_FACTOR = 4.0
+MIN_LATE_MS = 60
 
 
-def begin(connection: states.Connection, now_ms: int) -> None:
+def start_hold(connection: states.Connection, now_ms: int) -> None:
     """Note that a connection is taken for a request from the line."""
     connection.taken_ms = now_ms
 
 
-def end(
+def end_hold(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> None:
     """Learn for how long a request kept its connection."""
@@ -59,7 +59,7 @@
     if taken_ms is None or upstream is None:
         return
     kept_ms = now_ms - taken_ms
-    upstream.kept_ms += (kept_ms - upstream.kept_ms) * KEPT_WEIGHT
+    upstream.kept_ms += (kept_ms - upstream.kept_ms) * HOLD_TIME_WEIGHT
 
 
 def expected_wait_ms(
@@ -89,7 +89,7 @@
     return min(by_kept, by_room)
 
 
-def adjust_room(state: states.GroupState, upstream: states.Upstream) -> None:
+def adjust_limit(state: states.GroupState, upstream: states.Upstream) -> None:
     """Have fewer connections at work where statements queue.
 
     More of them do not make an upstream quicker once its slots are full. They
@@ -100,21 +100,25 @@
         upstream.quick_ms = upstream.service_ms
     else:
         slower_ms = upstream.service_ms - upstream.quick_ms
-        upstream.quick_ms += slower_ms * QUICK_WEIGHT
+        upstream.quick_ms += slower_ms * BASELINE_WEIGHT
     most = float(max(1, state.connection_share))
-    if upstream.service_ms > QUEUED_TIMES * upstream.quick_ms:
-        upstream.most_busy = max(1.0, min(most, upstream.most_busy) * LESS)
+    if upstream.service_ms > QUEUED_FACTOR * upstream.quick_ms:
+        upstream.most_busy = max(
+            1.0, min(most, upstream.most_busy) * DECREASE_FACTOR
+        )
     else:
-        upstream.most_busy = min(most, upstream.most_busy + MORE)
+        upstream.most_busy = min(most, upstream.most_busy + INCREASE_STEP)
 
 
-def lessen_room(state: states.GroupState, upstream: states.Upstream) -> None:
+def reduce_limit(state: states.GroupState, upstream: states.Upstream) -> None:
     """Have fewer connections at work where the queue is full."""
     most = float(max(1, state.connection_share))
-    upstream.most_busy = max(1.0, min(most, upstream.most_busy) * REFUSED_LESS)
+    upstream.most_busy = max(
+        1.0, min(most, upstream.most_busy) * REFUSED_DECREASE_FACTOR
+    )
 
 
-def has_room(
+def has_capacity(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
     """Say whether an upstream is to be given another request.
@@ -134,4 +138,4 @@
 
 def late_after_ms(upstream: states.Upstream) -> float:
     """Return how long an answer may take before it is unusual."""
-    return max(LEAST_LATE_MS, upstream.service_ms * LATE_TIMES)
+    return max(MIN_LATE_MS, upstream.service_ms * LATE_FACTOR)
--- a/topazring/core/synchronous/connections.py
+++ b/topazring/core/synchronous/connections.py
@@ -13,21 +13,21 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'closed',
-    'dial_extra',
-    'drop',
-    'drop_all_of',
-    'ensure',
-    'grow_share',
-    'is_held',
-    'is_shut_out',
-    'make_idle',
-    'opened',
+    'handle_closed',
+    'dial_beyond_share',
+    'close_connection',
+    'close_idle',
+    'open_missing',
+    'apply_larger_share',
+    'has_usable_connection',
+    'is_excluded_by_limit',
+    'mark_idle',
+    'handle_opened',
     'reserve_of',
     'send',
-    'set_share',
+    'update_share',
     'share_of',
-    'trim',
+    'close_excess',
 ]
 
 # An upstream drops the connections of an instance that lost its power after
@@ -39,23 +39,23 @@
 # hold one or two of an owner at a time, and what is reserve is not used in
 # calm times.
 RESERVE_PARTS = 3
-MOST_RESERVED = 3
+MAX_RESERVE = 3
 # A refused dial costs the upstream little; the pause keeps a dead one from
 # being dialled in a tight loop.
-DIAL_PAUSE_MS = 100
-MOST_DIAL_PAUSE_MS = 1000
+DIAL_RETRY_MS = 100
+MAX_DIAL_RETRY_MS = 1000
 # An upstream at its limit is left alone for about the time in which a proxy
 # that leaves gives its connections back.
-LIMIT_PAUSE_MS = 300
+LIMIT_RETRY_MS = 300
 # A proxy without any connection asks more often: it can serve nothing.
-BARE_LIMIT_PAUSE_MS = 60
+UNCONNECTED_LIMIT_RETRY_MS = 60
 # The longest statement takes some 200 ms behind a full queue; an answer that
 # takes longer than this is mostly lost.
 STALLED_MS = 250
 # A rolling restart takes one proxy away for some ten seconds at most.
 GROW_AFTER_MS = 15_000
 # A connection beyond the share that was idle for so long is not needed.
-SPARE_MS = 1000
+EXCESS_IDLE_MS = 1000
 # A dial takes a slot for some ten milliseconds, behind a full queue of
 # statements for some hundred. One that hangs for longer is lost: an instance
 # without power never answers.
@@ -72,7 +72,7 @@
     (1, 3)
     """
     part = max_connections // max(1, owners) // RESERVE_PARTS
-    return min(max(1, part), MOST_RESERVED)
+    return min(max(1, part), MAX_RESERVE)
 
 
 def share_of(max_connections: int, owners: int, rank: int) -> int:
@@ -94,7 +94,7 @@
     return max(1, even + (rank < left))
 
 
-def set_share(
+def update_share(
     state: states.GroupState, now_ms: int, message: messages.InstancesSeen
 ) -> list:
     """Take in how many proxies there are; give back what is too much.
@@ -117,7 +117,7 @@
     return []
 
 
-def grow_share(state: states.GroupState, now_ms: int) -> list:
+def apply_larger_share(state: states.GroupState, now_ms: int) -> list:
     """Use a larger share that has been there for long enough."""
     if not state.larger_share:
         return []
@@ -138,11 +138,11 @@
         spare = states.idle_connections(state, upstream)
         excess = len(states.connections_to(state, upstream)) - share
         for connection in spare[: max(0, excess)]:
-            outs += drop(state, connection)
+            outs += close_connection(state, connection)
     return outs
 
 
-def is_shut_out(state: states.GroupState, name: str) -> bool:
+def is_excluded_by_limit(state: states.GroupState, name: str) -> bool:
     """Say whether this proxy has no connection, and gets none.
 
     An upstream that is at its limit frees some when it drops those of
@@ -151,10 +151,10 @@
     upstream = state.upstreams.get(name)
     if upstream is None or not upstream.is_full:
         return False
-    return not is_held(state, name)
+    return not has_usable_connection(state, name)
 
 
-def is_held(state: states.GroupState, name: str) -> bool:
+def has_usable_connection(state: states.GroupState, name: str) -> bool:
     """Say whether some connection to an upstream is ready, or at work."""
     return any(
         connection.phase is not states.Phase.OPENING
@@ -162,7 +162,7 @@
     )
 
 
-def ensure(state: states.GroupState, now_ms: int) -> list:
+def open_missing(state: states.GroupState, now_ms: int) -> list:
     """Open what is missing, one dial an upstream at a time."""
     outs: list = []
     if state.began_ms is None:
@@ -206,7 +206,9 @@
     )
 
 
-def trim(state: states.GroupState, now_ms: int) -> list[messages.Close]:
+def close_excess(
+    state: states.GroupState, now_ms: int
+) -> list[messages.Close]:
     """Give back what was dialled beyond the share, once it is idle."""
     outs: list[messages.Close] = []
     if state.promotion is not None:
@@ -218,8 +220,11 @@
             continue
         idle = states.idle_connections(state, name)
         oldest = min(idle, key=lambda c: c.idle_since_ms, default=None)
-        if oldest is not None and now_ms - oldest.idle_since_ms >= SPARE_MS:
-            outs += drop(state, oldest)
+        if (
+            oldest is not None
+            and now_ms - oldest.idle_since_ms >= EXCESS_IDLE_MS
+        ):
+            outs += close_connection(state, oldest)
     return outs
 
 
@@ -235,14 +240,14 @@
     return messages.Open(number, upstream.name, upstream.address)
 
 
-def opened(
+def handle_opened(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> list:
     """Take in a connection that is ready."""
     upstream = state.upstreams.get(connection.upstream)
-    make_idle(connection, now_ms)
+    mark_idle(connection, now_ms)
     if upstream is None:
-        return drop(state, connection)
+        return close_connection(state, connection)
     upstream.dial_after_ms = 0
     upstream.is_full = False
     if not upstream.out_of_reach:
@@ -255,7 +260,7 @@
     return [messages.Decided('upstream reached', inputs=inputs)]
 
 
-def make_idle(connection: states.Connection, now_ms: int) -> None:
+def mark_idle(connection: states.Connection, now_ms: int) -> None:
     """Have a connection wait for its next commands."""
     connection.phase = states.Phase.IDLE
     connection.errand = states.Errand.NONE
@@ -264,14 +269,14 @@
     connection.idle_since_ms = now_ms
 
 
-def closed(
+def handle_closed(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
     message: messages.Closed,
 ) -> list:
     """Take in the end of a connection; pause before the next dial."""
-    _forget(state, connection)
+    _remove_connection(state, connection)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
         return []
@@ -282,14 +287,14 @@
     state.counters[f'dial_{message.reason}'] += 1
     if message.reason is outcomes.Reason.CONNECTION_LIMIT:
         held = len(states.connections_to(state, upstream.name))
-        pause_ms = LIMIT_PAUSE_MS if held else BARE_LIMIT_PAUSE_MS
+        pause_ms = LIMIT_RETRY_MS if held else UNCONNECTED_LIMIT_RETRY_MS
         upstream.is_full = True
         upstream.dial_after_ms = now_ms + pause_ms
         return []
     upstream.failed_dials += 1
     _note_unheard(upstream, connection)
-    pause_ms = DIAL_PAUSE_MS * upstream.failed_dials
-    upstream.dial_after_ms = now_ms + min(pause_ms, MOST_DIAL_PAUSE_MS)
+    pause_ms = DIAL_RETRY_MS * upstream.failed_dials
+    upstream.dial_after_ms = now_ms + min(pause_ms, MAX_DIAL_RETRY_MS)
     if upstream.out_of_reach:
         return []
     upstream.out_of_reach = True
@@ -330,15 +335,17 @@
     )
 
 
-def drop(
+def close_connection(
     state: states.GroupState, connection: states.Connection
 ) -> list[messages.Close]:
     """Close a connection that is not to be used again."""
-    _forget(state, connection)
+    _remove_connection(state, connection)
     return [messages.Close(connection.number)]
 
 
-def _forget(state: states.GroupState, connection: states.Connection) -> None:
+def _remove_connection(
+    state: states.GroupState, connection: states.Connection
+) -> None:
     """Strike off a connection, and all that points at it by its number.
 
     A request or transaction that went on naming it would end the group at the
@@ -356,17 +363,17 @@
         work.running.discard(connection.number)
 
 
-def drop_all_of(
+def close_idle(
     state: states.GroupState, upstream: str
 ) -> list[messages.Close]:
     """Close the idle connections to an upstream."""
     outs = []
     for connection in states.idle_connections(state, upstream):
-        outs += drop(state, connection)
+        outs += close_connection(state, connection)
     return outs
 
 
-def dial_extra(
+def dial_beyond_share(
     state: states.GroupState, now_ms: int, upstream: str
 ) -> list[messages.Open]:
     """Dial beyond the share, where a group's fate waits for an answer."""
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -4,11 +4,11 @@
 from topazring.core import outcomes
 from topazring.core import retries
 from topazring.core.synchronous import completion
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import questions
 from topazring.core.synchronous import request_queues
@@ -152,7 +152,7 @@
         request_queues.dequeue(state, now_ms, work)
     if work.offered_ms is None:
         work.offered_ms = now_ms
-    pace.begin(connection, now_ms)
+    concurrency_limit.start_hold(connection, now_ms)
     _assign(state, work, connection)
     outs = _tell_sent(state, now_ms, work, connection, after)
     if after is None and proofs.needs_proof(request):
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -2,13 +2,13 @@
 
 from topazring.core import outcomes
 from topazring.core.synchronous import completion
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import prospects
 from topazring.core.synchronous import results
@@ -180,7 +180,7 @@
         connection = state.connections.get(number)
         # A transaction's went with it.
         if connection is not None:
-            outs += connections.drop(state, connection)
+            outs += connections.close_connection(state, connection)
     return outs
 
 
@@ -197,7 +197,7 @@
             # The primary that it was sent to is replaced.
             continue
         took_ms = now_ms - connection.sent_ms
-        if took_ms <= pace.late_after_ms(upstream):
+        if took_ms <= concurrency_limit.late_after_ms(upstream):
             return False
     return True
 
--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -8,7 +8,6 @@
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
-from topazring.core.synchronous import duty
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import expiry
 from topazring.core.synchronous import freshness
@@ -18,6 +17,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import promotion
+from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import promotion_order
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import prospects
@@ -89,17 +89,17 @@
 
 _handles(messages.Submit)(arrival.submit)
 _handles(messages.Withdraw)(arrival.withdraw)
-_handles(messages.InstancesSeen)(connections.set_share)
-_handles(messages.DutySeen)(duty.duty_seen)
+_handles(messages.InstancesSeen)(connections.update_share)
+_handles(messages.DutySeen)(promotion_lease.handle_lease_change)
 
 
 @_handles(messages.UpstreamsSeen)
 def _upstreams_seen(
     state: states.GroupState, now_ms: int, message: messages.UpstreamsSeen
 ) -> list:
-    outs = membership.upstreams_seen(state, now_ms, message)
+    outs = membership.handle_upstream_list(state, now_ms, message)
     outs += primary.settle(state, now_ms)
-    outs += connections.ensure(state, now_ms)
+    outs += connections.open_missing(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
@@ -119,14 +119,14 @@
 def _ordered(
     state: states.GroupState, now_ms: int, message: messages.Ordered
 ) -> list:
-    return promotion_order.ordered(state, now_ms, message)
+    return promotion_order.handle_order_result(state, now_ms, message)
 
 
 @_handles(messages.ListRead)
 def _list_read(
     state: states.GroupState, now_ms: int, message: messages.ListRead
 ) -> list:
-    return promotion.list_read(state, now_ms, message)
+    return promotion.handle_list_read(state, now_ms, message)
 
 
 @_handles(messages.Opened)
@@ -136,14 +136,14 @@
     connection = state.connections.get(message.connection)
     if connection is None:
         return [messages.Close(message.connection)]
-    outs = connections.opened(state, now_ms, connection)
+    outs = connections.handle_opened(state, now_ms, connection)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
         return outs
     primary.note_place(state, now_ms, upstream, message.place)
     outs += primary.ask_claims(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
-    outs += connections.ensure(state, now_ms)
+    outs += connections.open_missing(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
 
@@ -158,7 +158,7 @@
         outs = _control_replied(state, now_ms, connection, message)
     else:
         outs = results.handle_replies(state, now_ms, connection, message)
-        outs += duty.fence(state, now_ms)
+        outs += promotion_lease.fence_earlier_orders(state, now_ms)
     outs += completion.answer_proven(state, now_ms)
     outs += primary.ask_claims(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
@@ -176,8 +176,8 @@
     reply = message.replies[-1]
     outs += member_replies.control_replied(state, now_ms, connection, reply)
     if connection.upstream not in state.upstreams:
-        return outs + connections.drop(state, connection)
-    connections.make_idle(connection, now_ms)
+        return outs + connections.close_connection(state, connection)
+    connections.mark_idle(connection, now_ms)
     return outs
 
 
@@ -189,7 +189,7 @@
     if connection is None:
         return []
     outs = results.handle_closed(state, now_ms, connection, message)
-    outs += connections.ensure(state, now_ms)
+    outs += connections.open_missing(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
 
@@ -205,13 +205,13 @@
     outs += expiry.expire(state, now_ms)
     outs += expiry.expire_connections(state, now_ms)
     outs += completion.answer_proven(state, now_ms)
-    outs += membership.close_leaving(state, now_ms)
+    outs += membership.close_leaving_connections(state, now_ms)
     outs += promotion.tick(state, now_ms)
     outs += _guard(state, now_ms)
     outs += primary.ask_claims(state, now_ms)
-    outs += connections.grow_share(state, now_ms)
-    outs += connections.trim(state, now_ms)
-    outs += connections.ensure(state, now_ms)
+    outs += connections.apply_larger_share(state, now_ms)
+    outs += connections.close_excess(state, now_ms)
+    outs += connections.open_missing(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
 
@@ -245,7 +245,9 @@
     state.woke_ms = now_ms
     outs: list = []
     if paused_ms >= DUTY_PAUSE_MS:
-        outs = duty.duty_seen(state, now_ms, messages.DutySeen(False))
+        outs = promotion_lease.handle_lease_change(
+            state, now_ms, messages.DutySeen(False)
+        )
     freshness.discard_samples(state)
     for upstream in state.upstreams.values():
         upstream.unheard_since_ms = None
@@ -307,7 +309,7 @@
         return []
     outs: list = []
     if state.holds_duty and evidence.needs_dial(state, now_ms, upstream):
-        outs += connections.dial_extra(state, now_ms, name)
+        outs += connections.dial_beyond_share(state, now_ms, name)
     return outs + questions.guard(state, now_ms, upstream)
 
 
@@ -326,6 +328,6 @@
             maybe_ran=completion.may_have_run(work),
         )
     for connection in list(state.connections.values()):
-        outs += connections.drop(state, connection)
+        outs += connections.close_connection(state, connection)
     state.transactions.clear()
     return outs
--- a/topazring/core/synchronous/listing.py
+++ b/topazring/core/synchronous/listing.py
@@ -17,22 +17,22 @@
     'ProxyRecord',
     'Record',
     'UpstreamRecord',
-    'expire',
-    'forget_missing',
+    'remove_expired',
+    'reconcile',
     'hop_addresses',
     'proxies_of',
-    'take',
-    'take_gone',
+    'apply_record',
+    'record_removal',
     'upstreams_of',
 ]
 
 # An entry that is missing longer is gone. The users state two seconds after
 # the service's return.
-LAPSED_MS = 2200
+UPSTREAM_GRACE_MS = 2200
 # A proxy looks at its lease every 10 s and lists itself anew if that ended.
 # All entries of proxies may lapse while the service is away, and each would
 # take itself for the only owner of everything until the others are back.
-PROXY_LAPSED_MS = 12_000
+PROXY_GRACE_MS = 12_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,13 +75,13 @@
         default_factory=dict
     )
     # Since when each entry is missing that did not say that it would leave.
-    lapsed_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    missing_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     # When each was first seen to be leaving, or an upper bound of that.
-    leaving_ms: dict[str, int] = dataclasses.field(default_factory=dict)
+    leaving_since_ms: dict[str, int] = dataclasses.field(default_factory=dict)
     proxies: dict[str, ProxyRecord] = dataclasses.field(default_factory=dict)
 
 
-def take(
+def apply_record(
     listing: Listing,
     now_ms: int,
     confirmed_ms: int,
@@ -99,7 +99,7 @@
         case UpstreamRecord():
             return _take_upstream(listing, now_ms, confirmed_ms, key, record)
         case ProxyRecord():
-            listing.lapsed_ms.pop(key, None)
+            listing.missing_since_ms.pop(key, None)
             listing.proxies[key] = record
             return _services(listing)
 
@@ -132,46 +132,48 @@
     if known is not None:
         if record.upstream.revision < known.upstream.revision:
             return set()
-    listing.lapsed_ms.pop(key, None)
+    listing.missing_since_ms.pop(key, None)
     if not record.upstream.leaving:
-        listing.leaving_ms.pop(key, None)
-    elif key not in listing.leaving_ms:
-        listing.leaving_ms[key] = min(confirmed_ms, now_ms)
+        listing.leaving_since_ms.pop(key, None)
+    elif key not in listing.leaving_since_ms:
+        listing.leaving_since_ms[key] = min(confirmed_ms, now_ms)
     listing.upstreams[key] = record
     return {record.service}
 
 
-def take_gone(listing: Listing, now_ms: int, key: str) -> set[str]:
+def record_removal(listing: Listing, now_ms: int, key: str) -> set[str]:
     """Take in that an entry is gone; return the services concerned."""
     if key not in listing.proxies and key not in listing.upstreams:
         return set()
-    if key in listing.leaving_ms:
+    if key in listing.leaving_since_ms:
         return _remove(listing, key)
-    listing.lapsed_ms.setdefault(key, now_ms)
+    listing.missing_since_ms.setdefault(key, now_ms)
     return set()
 
 
 def _remove(listing: Listing, key: str) -> set[str]:
-    listing.lapsed_ms.pop(key, None)
+    listing.missing_since_ms.pop(key, None)
     if listing.proxies.pop(key, None) is not None:
         return _services(listing)
     record = listing.upstreams.pop(key)
-    listing.leaving_ms.pop(key, None)
+    listing.leaving_since_ms.pop(key, None)
     return {record.service}
 
 
-def forget_missing(
+def reconcile(
     listing: Listing, now_ms: int, present: collections.abc.Container[str]
 ) -> set[str]:
     """Compare with a complete list; what it lacks is missing."""
     services: set[str] = set()
     for key in [*listing.upstreams, *listing.proxies]:
         if key not in present:
-            services |= take_gone(listing, now_ms, key)
+            services |= record_removal(listing, now_ms, key)
     return services
 
 
-def expire(listing: Listing, now_ms: int, away_since_ms: int | None) -> set:
+def remove_expired(
+    listing: Listing, now_ms: int, away_since_ms: int | None
+) -> set:
     """Remove what has been missing for too long; return the services.
 
     Nothing is removed while the service that lists is away.
@@ -179,9 +181,9 @@
     services: set[str] = set()
     if away_since_ms is not None:
         return services
-    for key, since_ms in list(listing.lapsed_ms.items()):
+    for key, since_ms in list(listing.missing_since_ms.items()):
         is_proxy = key in listing.proxies
-        kept_ms = PROXY_LAPSED_MS if is_proxy else LAPSED_MS
+        kept_ms = PROXY_GRACE_MS if is_proxy else UPSTREAM_GRACE_MS
         if now_ms - since_ms >= kept_ms:
             services |= _remove(listing, key)
     return services
@@ -196,7 +198,7 @@
         if record.service != service:
             continue
         upstream = record.upstream
-        leaving_ms = listing.leaving_ms.get(key)
+        leaving_ms = listing.leaving_since_ms.get(key)
         if leaving_ms is not None:
             upstream = dataclasses.replace(
                 upstream, leaving_for_ms=now_ms - leaving_ms
--- a/topazring/core/synchronous/member_replies.py
+++ b/topazring/core/synchronous/member_replies.py
@@ -42,9 +42,9 @@
         return _paused(state, now_ms, attempt, connection, reply.report)
     if isinstance(command, statements.Demote):
         return _demoted(state, now_ms, attempt, name, reply.report)
-    if name == attempt.heir or attempt.looking:
-        attempts.take_report(attempt, now_ms, name, reply.report)
-    return promotion.go_on(state, now_ms, attempt)
+    if name == attempt.successor or attempt.is_query_only:
+        attempts.record_report(attempt, now_ms, name, reply.report)
+    return promotion.advance(state, now_ms, attempt)
 
 
 def _paused(
@@ -60,9 +60,9 @@
     if report.role is statements.Role.PRIMARY and replaced:
         # It has not learned yet that another led since. Taking it for one
         # that leads would end this attempt, and each after it, for a second.
-        attempt.replaced.add(name)
+        attempt.stale_primaries.add(name)
         attempt.asked_ms.pop(name, None)
-        return promotion.go_on(state, now_ms, attempt)
+        return promotion.advance(state, now_ms, attempt)
     if report.role is statements.Role.PRIMARY:
         outs = primary.note_report(
             state,
@@ -78,10 +78,10 @@
         # A term was newer than any that had been seen: it is not paused.
         attempt.term = state.term + 1
         attempts.forget_reports(attempt)
-        return promotion.go_on(state, now_ms, attempt)
+        return promotion.advance(state, now_ms, attempt)
     told = _tell_paused(state, now_ms, attempt, name, report)
-    attempts.take_report(attempt, now_ms, name, report)
-    return told + promotion.go_on(state, now_ms, attempt)
+    attempts.record_report(attempt, now_ms, name, report)
+    return told + promotion.advance(state, now_ms, attempt)
 
 
 def _tell_paused(
@@ -92,9 +92,9 @@
     report: statements.StatusReport,
 ) -> list:
     """Tell where the log of a member ends, once an attempt."""
-    if name in attempt.told_paused:
+    if name in attempt.logged_paused:
         return []
-    attempt.told_paused.add(name)
+    attempt.logged_paused.add(name)
     inputs = {
         'upstream': name,
         'received': str(report.received),
@@ -123,11 +123,11 @@
     if report.role is statements.Role.PRIMARY:
         attempt.term = state.term + 1
         attempt.asked_ms.pop(name, None)
-        return promotion.go_on(state, now_ms, attempt)
+        return promotion.advance(state, now_ms, attempt)
     state.upstreams[name].refuted_ms = now_ms
-    if name in attempt.replaced:
-        attempt.replaced.discard(name)
+    if name in attempt.stale_primaries:
+        attempt.stale_primaries.discard(name)
         attempt.asked_ms.pop(name, None)
     else:
-        attempts.take_report(attempt, now_ms, name, report)
-    return promotion.go_on(state, now_ms, attempt)
+        attempts.record_report(attempt, now_ms, name, report)
+    return promotion.advance(state, now_ms, attempt)
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -8,15 +8,15 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['close_leaving', 'upstreams_seen']
+__all__ = ['close_leaving_connections', 'handle_upstream_list']
 
 # Of the time that a leaving primary may still be given work, this part is
 # used; its replacement has to be done by then. The rest covers a list that
 # was late and requests under way.
-LEAVING_SHARE = 0.6
+DRAIN_SHARE = 0.6
 
 
-def upstreams_seen(
+def handle_upstream_list(
     state: states.GroupState, now_ms: int, message: messages.UpstreamsSeen
 ) -> list:
     """Take in the whole list of the group's upstreams."""
@@ -58,7 +58,7 @@
         confirmations.lose_successor(state, now_ms)
     paused_at = None
     if state.promotion is not None:
-        paused_at = attempts.paused_at(state.promotion, now_ms, name)
+        paused_at = attempts.paused_log_end(state.promotion, now_ms, name)
         attempts.forget_member(state.promotion, name)
     state.departures.add(
         now_ms,
@@ -69,7 +69,7 @@
     )
     state.paused.discard(name)
     outs: list = [messages.Decided('upstream gone', inputs={'upstream': name})]
-    outs += connections.drop_all_of(state, name)
+    outs += connections.close_idle(state, name)
     return outs
 
 
@@ -113,7 +113,7 @@
     outs: list = []
     if entry.address != upstream.address:
         upstream.address = entry.address
-        outs += connections.drop_all_of(state, entry.name)
+        outs += connections.close_idle(state, entry.name)
     newer = entry.revision > upstream.listed_revision
     if newer and entry.role is not upstream.listed_role:
         # It sees itself in another part now: what it refused before that
@@ -159,13 +159,13 @@
         return
     upstream.closed_to_work_ms = now_ms
     if entry.role is statements.Role.PRIMARY or state.primary == entry.name:
-        left_ms = state.limits.drain_ms * LEAVING_SHARE
+        left_ms = state.limits.drain_ms * DRAIN_SHARE
         upstream.closed_to_work_ms += max(
             0, int(left_ms) - entry.leaving_for_ms
         )
 
 
-def close_leaving(state: states.GroupState, now_ms: int) -> list:
+def close_leaving_connections(state: states.GroupState, now_ms: int) -> list:
     """Close idle connections to those that get no new work."""
     outs: list = []
     for upstream in state.upstreams.values():
@@ -174,5 +174,5 @@
         if state.promotion is not None and upstream.name != state.primary:
             # It may hold what has to be asked for.
             continue
-        outs += connections.drop_all_of(state, upstream.name)
+        outs += connections.close_idle(state, upstream.name)
     return outs
--- a/topazring/core/synchronous/ownership.py
+++ b/topazring/core/synchronous/ownership.py
@@ -14,7 +14,7 @@
 
 from topazring.core import hashing
 
-__all__ = ['Ownership', 'Proxy', 'settle']
+__all__ = ['Ownership', 'Proxy', 'select_owners']
 
 # Connections that an owner needs to one upstream, with one in reserve for a
 # fleet that lost its power: an open transaction holds one while its caller
@@ -25,10 +25,10 @@
 # the slots do not take stands in the upstream's queue, where the urgent does
 # not go first. Of a played crowd before one upstream of two slots 65% were in
 # time at 23 owners and 75% at 8, of the saves 59% and 84%.
-MOST_OWNERS = 8
+MAX_OWNERS = 8
 # Up to so many proxies each is one: a step more for most requests costs more
 # than shared lines bring, and a data centre may be lost with its owners.
-ALL_OWNERS = 12
+ALL_OWNERS_LIMIT = 12
 # Where each proxy can hold one, each is an owner as long as what is left
 # lets half of a fleet come back while the connections of before linger.
 RESERVE_SHARE = 0.5
@@ -56,7 +56,7 @@
         return None
 
 
-def settle(
+def select_owners(
     service: str,
     proxies: collections.abc.Collection[Proxy],
     max_connections: int,
@@ -74,9 +74,9 @@
     """
     count = len(proxies)
     reserve = max_connections - count
-    if count > ALL_OWNERS or reserve < count * RESERVE_SHARE:
+    if count > ALL_OWNERS_LIMIT or reserve < count * RESERVE_SHARE:
         few = max_connections // OWNER_CONNECTIONS
-        count = max(1, min(few, MOST_OWNERS))
+        count = max(1, min(few, MAX_OWNERS))
     by_name = {proxy.name: proxy for proxy in proxies}
     candidates = [
         hashing.Candidate(proxy.name, '', proxy.data_centre)
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -22,23 +22,23 @@
 from topazring.core.synchronous import asking
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
-from topazring.core.synchronous import duty
 from topazring.core.synchronous import evidence
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import promotion_end
+from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import promotion_order
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 
-__all__ = ['go_on', 'list_read', 'tick']
+__all__ = ['advance', 'handle_list_read', 'tick']
 
 # A promotion takes some hundred ms after the order. One that shows nothing
 # for so long failed, and the group is looked at anew.
-LEAD_MS = 3000
+LEAD_TIMEOUT_MS = 3000
 # A paused replica confirms nothing. If the primary lives after all, writes
 # stand still meanwhile, so an attempt that cannot choose lets go again.
-CHOOSE_MS = 800
+CHOICE_TIMEOUT_MS = 800
 
 
 def tick(state: states.GroupState, now_ms: int) -> list:
@@ -47,8 +47,8 @@
         return []
     attempt = state.promotion
     if attempt is not None:
-        return go_on(state, now_ms, attempt)
-    if duty.another_promotes(state, now_ms):
+        return advance(state, now_ms, attempt)
+    if promotion_lease.is_another_promoting(state, now_ms):
         return _yield_to_another(state)
     if now_ms < state.next_promotion_ms:
         return []
@@ -110,10 +110,12 @@
     )
     if loss is not None:
         attempt.unconfirmed = loss.unconfirmed or loss.replaced
-        attempt.looking = loss.unconfirmed
+        attempt.is_query_only = loss.unconfirmed
     attempt.since_ms = now_ms if loss is None else loss.since_ms
     state.promotion = attempt
-    what = 'promotion considered' if attempt.looking else 'promotion begins'
+    what = (
+        'promotion considered' if attempt.is_query_only else 'promotion begins'
+    )
     state.counters[what.replace(' ', '_')] += 1
     decided = messages.Decided(
         what,
@@ -125,51 +127,57 @@
             'since_ms': 0 if loss is None else now_ms - loss.since_ms,
         },
     )
-    return [decided, *go_on(state, now_ms, attempt)]
+    return [decided, *advance(state, now_ms, attempt)]
 
 
-def go_on(
+def advance(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     """Take the next step of an attempt, or end it."""
-    if attempt.looking and duty.another_promotes(state, now_ms):
+    if attempt.is_query_only and promotion_lease.is_another_promoting(
+        state, now_ms
+    ):
         return _yield_to_another(state)
     ended = _end(state, now_ms, attempt)
     if ended is not None:
         return ended
     if attempt.chosen:
         return _stand_by(state, now_ms, attempt)
-    outs = promotion_order.read_list(now_ms, attempt)
+    outs = promotion_order.request_list(now_ms, attempt)
     outs += asking.ask(state, now_ms, attempt)
-    chosen = attempts.choose(state, now_ms, attempt)
+    chosen = attempts.choose_primary(state, now_ms, attempt)
     if not chosen:
         return outs
-    if attempt.looking and attempts.receives(state, now_ms, attempt):
+    if attempt.is_query_only and attempts.has_receiving_replica(
+        state, now_ms, attempt
+    ):
         return outs + promotion_end.finish(
             state, now_ms, attempt, 'replicas receive'
         )
-    if attempt.looking and chosen == attempt.old:
+    if attempt.is_query_only and chosen == attempt.old_primary:
         return outs + promotion_end.finish(
             state, now_ms, attempt, 'nobody may follow'
         )
-    if attempt.looking:
+    if attempt.is_query_only:
         return outs + _stop_looking(state, now_ms, attempt)
-    return outs + promotion_order.order(state, now_ms, attempt, chosen)
+    return outs + promotion_order.order_promotion(
+        state, now_ms, attempt, chosen
+    )
 
 
-def list_read(
+def handle_list_read(
     state: states.GroupState, now_ms: int, message: messages.ListRead
 ) -> list:
     """Take in that all who are listed are known."""
     attempt = state.promotion
     if attempt is None or attempt.token != message.token:
         return []
-    attempt.reading_list = False
+    attempt.is_reading_list = False
     if not message.complete:
         # Asked again at the next tick.
         return []
     attempt.list_read_ms = now_ms
-    return go_on(state, now_ms, attempt)
+    return advance(state, now_ms, attempt)
 
 
 def _stand_by(
@@ -183,7 +191,7 @@
     """
     if not attempt.accepted and _is_overtaken(attempt):
         return promotion_end.finish(state, now_ms, attempt, 'overtaken')
-    outs = promotion_order.repeat(state, now_ms, attempt)
+    outs = promotion_order.resend_order(state, now_ms, attempt)
     if not attempt.unconfirmed:
         outs += asking.ask(state, now_ms, attempt)
     return outs
@@ -191,14 +199,14 @@
 
 def _is_overtaken(attempt: attempts.Attempt) -> bool:
     """Say whether somebody received more since the order went out."""
-    if attempt.chosen in (attempt.old, attempt.heir):
+    if attempt.chosen in (attempt.old_primary, attempt.successor):
         # An heir goes on receiving; its place is older than the others'.
         return False
     # What the demoted primary holds beyond that was never confirmed.
     return any(
-        report.received > attempt.chosen_place
+        report.received > attempt.chosen_position
         for name, report in attempt.reports.items()
-        if name != attempt.old
+        if name != attempt.old_primary
     )
 
 
@@ -206,11 +214,11 @@
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     """Pause the replicas now that one of them could follow."""
-    attempt.looking = False
+    attempt.is_query_only = False
     attempts.forget_reports(attempt)
     state.counters['promotion_begins'] += 1
     inputs = {
-        'old': attempt.old,
+        'old': attempt.old_primary,
         'why': attempt.why,
         'token': attempt.token,
         'since_ms': now_ms - attempt.since_ms,
@@ -224,11 +232,11 @@
 ) -> list | None:
     """End an attempt that succeeded, or that nothing calls for any more."""
     leads = state.primary
-    renewed = attempt.chosen == attempt.old and attempt.accepted
-    if leads and (leads != attempt.old or renewed):
-        if leads == attempt.chosen != attempt.heir:
+    renewed = attempt.chosen == attempt.old_primary and attempt.accepted
+    if leads and (leads != attempt.old_primary or renewed):
+        if leads == attempt.chosen != attempt.successor:
             # An heir received more after it was chosen.
-            state.start = known_places.Start(leads, attempt.chosen_place)
+            state.start = known_places.Start(leads, attempt.chosen_position)
         state.successor_gone = False
         return promotion_end.finish(state, now_ms, attempt, 'succeeded')
     if attempt.successor_gone:
@@ -237,24 +245,24 @@
         # Without an answer the order stands, and it is repeated until there
         # is one. Meanwhile all are paused, so a primary that is back
         # acknowledges nothing that the chosen one lacks.
-        if attempt.accepted and now_ms - attempt.ordered_ms > LEAD_MS:
+        if attempt.accepted and now_ms - attempt.ordered_ms > LEAD_TIMEOUT_MS:
             return promotion_end.finish(state, now_ms, attempt, 'nobody leads')
         return None
-    if not attempt.heir and now_ms - attempt.began_ms > CHOOSE_MS:
-        if attempt.unconfirmed and not attempt.looking:
+    if not attempt.successor and now_ms - attempt.began_ms > CHOICE_TIMEOUT_MS:
+        if attempt.unconfirmed and not attempt.is_query_only:
             # It may have been demoted; the search for one that leads shows.
             state.primary = ''
             state.primary_lost_ms = attempt.began_ms
         return promotion_end.finish(
             state, now_ms, attempt, 'nobody may follow'
         )
-    old = state.upstreams.get(attempt.old)
-    if attempt.looking and old is not None:
+    old = state.upstreams.get(attempt.old_primary)
+    if attempt.is_query_only and old is not None:
         if evidence.silent(state, now_ms, old) is not None:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
-    if attempt.heir:
+    if attempt.successor:
         if old is None or evidence.judge(state, now_ms) is not None:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
@@ -269,7 +277,7 @@
     alive = old.heard_ms > attempt.began_ms
     if attempt.unconfirmed:
         alive = old.confirmed_ms > attempt.began_ms
-    if alive and leads == attempt.old:
+    if alive and leads == attempt.old_primary:
         return promotion_end.finish(state, now_ms, attempt, 'it is back')
     return None
 
@@ -301,16 +309,18 @@
     if attempt.demoting_since_ms is None:
         waited_ms = now_ms - attempt.began_ms
         blocked = attempts.is_blocked(state, now_ms, attempt)
-        if waited_ms > CHOOSE_MS and blocked:
+        if waited_ms > CHOICE_TIMEOUT_MS and blocked:
             attempt.demoting_since_ms = now_ms
             attempts.forget_reports(attempt)
-            inputs = {'old': attempt.old, 'heir': attempt.heir}
+            inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
             decided = messages.Decided('hand-over blocked', inputs=inputs)
             return [decided, *asking.ask(state, now_ms, attempt)]
         return None
-    if now_ms - attempt.demoting_since_ms < CHOOSE_MS:
+    if now_ms - attempt.demoting_since_ms < CHOICE_TIMEOUT_MS:
         return None
-    if attempts.is_fresh(attempt, now_ms, attempt.old):
+    if attempts.has_fresh_report(attempt, now_ms, attempt.old_primary):
         # Its heir did not get all that it holds: it has to lead again.
-        return promotion_order.order(state, now_ms, attempt, attempt.old)
+        return promotion_order.order_promotion(
+            state, now_ms, attempt, attempt.old_primary
+        )
     return promotion_end.finish(state, now_ms, attempt, 'lost meanwhile')
--- a/topazring/core/synchronous/promotion_end.py
+++ b/topazring/core/synchronous/promotion_end.py
@@ -8,9 +8,9 @@
 __all__ = ['finish']
 
 # Pause before the next attempt after one that was broken off.
-PAUSE_MS = 300
+RETRY_DELAY_MS = 300
 # After these the next attempt begins at once.
-AT_ONCE = frozenset({'succeeded', 'overtaken', 'lost meanwhile'})
+IMMEDIATE_RETRY = frozenset({'succeeded', 'overtaken', 'lost meanwhile'})
 
 
 def finish(
@@ -19,16 +19,16 @@
     """End an attempt; resume who was paused."""
     state.promotion = None
     state.next_promotion_ms = now_ms
-    if attempt.looking:
+    if attempt.is_query_only:
         state.looked_ms = now_ms
-    if how not in AT_ONCE:
-        state.next_promotion_ms += PAUSE_MS
+    if how not in IMMEDIATE_RETRY:
+        state.next_promotion_ms += RETRY_DELAY_MS
     state.counters['promotion_' + how.replace(' ', '_')] += 1
     decided = messages.Decided(
         'promotion ended',
         inputs={
             'how': how,
-            'old': attempt.old,
+            'old': attempt.old_primary,
             'chosen': attempt.chosen,
             'acknowledged': str(state.acknowledged),
             'primary': state.primary,
@@ -41,11 +41,11 @@
     # On the wrong side of a partition: another may reach them.
     if not _heard_any(attempt):
         outs.append(messages.YieldDuty('no replica can be reached'))
-    elif attempt.list_read_ms is None and not attempt.looking:
+    elif attempt.list_read_ms is None and not attempt.is_query_only:
         outs.append(messages.YieldDuty('the list cannot be read'))
     return outs
 
 
 def _heard_any(attempt: attempts.Attempt) -> bool:
     """Say whether any member but the old primary answered."""
-    return any(name != attempt.old for name in attempt.reports)
+    return any(name != attempt.old_primary for name in attempt.reports)
--- a/topazring/core/synchronous/duty.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -4,17 +4,22 @@
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 
-__all__ = ['another_promotes', 'duty_seen', 'fence', 'fenced']
+__all__ = [
+    'is_another_promoting',
+    'handle_lease_change',
+    'fence_earlier_orders',
+    'handle_fence_result',
+]
 
 # A guard is answered within a few ms; a promotion takes 300 at least. So who
 # proved to lead so long ago leads still.
-PROOF_MS = 200
+PROOF_MAX_AGE_MS = 200
 # What a member said of its pause counts for so long; a promotion takes 300 ms
 # at least.
-PAUSED_MS = 300
+PAUSE_REPORT_MAX_AGE_MS = 300
 
 
-def duty_seen(
+def handle_lease_change(
     state: states.GroupState, now_ms: int, message: messages.DutySeen
 ) -> list:
     """Take in whether this proxy may promote, and from which token on.
@@ -35,7 +40,7 @@
     return []
 
 
-def another_promotes(state: states.GroupState, now_ms: int) -> bool:
+def is_another_promoting(state: states.GroupState, now_ms: int) -> bool:
     """Say whether a member is paused, and not by this proxy.
 
     Only the holder of the duty pauses. One that is cut off from the
@@ -46,13 +51,13 @@
     """
     return any(
         upstream.held_term > state.term
-        and now_ms - upstream.reported_sent_ms <= PAUSED_MS
+        and now_ms - upstream.reported_sent_ms <= PAUSE_REPORT_MAX_AGE_MS
         and upstream.name not in state.paused
         for upstream in state.upstreams.values()
     )
 
 
-def fence(state: states.GroupState, now_ms: int) -> list:
+def fence_earlier_orders(state: states.GroupState, now_ms: int) -> list:
     """Make orders of earlier holders harmless.
 
     One that got no answer may be carried out seconds later, when the primary
@@ -65,17 +70,19 @@
     wanted = state.holds_duty and state.unfenced and state.promotion is None
     if not wanted or state.fence_token:
         return []
-    if now_ms - proofs.proven_ms(state) > PROOF_MS:
+    if now_ms - proofs.proven_ms(state) > PROOF_MAX_AGE_MS:
         return []
     primary = state.upstreams[state.primary]
-    if now_ms - primary.took_sent_ms > PROOF_MS:
+    if now_ms - primary.took_sent_ms > PROOF_MAX_AGE_MS:
         return []
     state.token += 1
     state.fence_token = state.token
     return [messages.Order(state.primary, state.token)]
 
 
-def fenced(state: states.GroupState, message: messages.Ordered) -> list:
+def handle_fence_result(
+    state: states.GroupState, message: messages.Ordered
+) -> list:
     """Take in the answer to an order that was to fence."""
     state.fence_token = 0
     if message.result is messages.OrderResult.ACCEPTED:
--- a/topazring/core/synchronous/promotion_order.py
+++ b/topazring/core/synchronous/promotion_order.py
@@ -4,45 +4,50 @@
 """
 
 from topazring.core.synchronous import attempts
-from topazring.core.synchronous import duty
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import promotion_end
+from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import state as states
 
-__all__ = ['order', 'ordered', 'read_list', 'repeat']
+__all__ = [
+    'order_promotion',
+    'handle_order_result',
+    'request_list',
+    'resend_order',
+]
 
 
-def read_list(now_ms: int, attempt: attempts.Attempt) -> list:
+def request_list(now_ms: int, attempt: attempts.Attempt) -> list:
     """Have the list read anew while the members are paused.
 
     A replica that this proxy does not know yet may be the only one that holds
     an acknowledged write: others knew it and asked it.
     """
-    if attempt.looking or attempt.reading_list:
+    if attempt.is_query_only or attempt.is_reading_list:
         return []
-    if attempts.has_list(attempt, now_ms):
+    if attempts.has_fresh_list(attempt, now_ms):
         return []
-    attempt.reading_list = True
+    attempt.is_reading_list = True
     return [messages.ReadList(attempt.token)]
 
 
-def order(
+def order_promotion(
     state: states.GroupState,
     now_ms: int,
     attempt: attempts.Attempt,
     chosen: str,
 ) -> list:
     """Order a member to lead, on a list of upstreams that is young enough."""
-    if not attempts.has_list(attempt, now_ms):
-        return read_list(now_ms, attempt)
+    if not attempts.has_fresh_list(attempt, now_ms):
+        return request_list(now_ms, attempt)
     attempt.chosen = chosen
-    attempt.chosen_place = attempt.reports[chosen].received
+    attempt.chosen_position = attempt.reports[chosen].received
     attempt.ordered_ms = now_ms
-    attempt.ordering = True
+    attempt.is_order_pending = True
     decided = messages.Decided(
         'promotion ordered',
         inputs={
-            'old': attempt.old,
+            'old': attempt.old_primary,
             'chosen': chosen,
             'token': attempt.token,
             'places': {
@@ -59,36 +64,36 @@
     return [decided, messages.Order(chosen, attempt.token)]
 
 
-def repeat(
+def resend_order(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     """Send the order again that got no answer: same upstream, same token.
 
     The chosen one may have begun again meanwhile, empty.
     """
-    if attempt.accepted or attempt.ordering:
+    if attempt.accepted or attempt.is_order_pending:
         return []
-    if not attempts.has_list(attempt, now_ms):
-        return read_list(now_ms, attempt)
-    attempt.ordering = True
+    if not attempts.has_fresh_list(attempt, now_ms):
+        return request_list(now_ms, attempt)
+    attempt.is_order_pending = True
     return [messages.Order(attempt.chosen, attempt.token)]
 
 
-def ordered(
+def handle_order_result(
     state: states.GroupState, now_ms: int, message: messages.Ordered
 ) -> list:
     """Take in the platform's answer to an order."""
     attempt = state.promotion
     if message.token == state.fence_token:
-        return duty.fenced(state, message)
+        return promotion_lease.handle_fence_result(state, message)
     if attempt is None or attempt.token != message.token:
         return []
     match message.result:
         case messages.OrderResult.ACCEPTED:
             return _accepted(state, now_ms, attempt)
         case messages.OrderResult.UNANSWERED:
-            attempt.ordering = False
-            return repeat(state, now_ms, attempt)
+            attempt.is_order_pending = False
+            return resend_order(state, now_ms, attempt)
         case messages.OrderResult.REFUSED:
             # Until the platform's service confirms the duty again, another
             # may hold it.
@@ -102,8 +107,8 @@
     attempt.accepted = True
     # This order's token outdoes all earlier ones as well.
     state.unfenced = False
-    old = state.upstreams.get(attempt.old)
-    if state.primary == attempt.old:
+    old = state.upstreams.get(attempt.old_primary)
+    if state.primary == attempt.old_primary:
         state.primary = ''
         state.primary_lost_ms = now_ms
     if old is not None:
--- a/topazring/core/synchronous/prospects.py
+++ b/topazring/core/synchronous/prospects.py
@@ -54,7 +54,7 @@
     """
     if state.isolated_with:
         return outcomes.NotRun(Reason.NO_PRIMARY, ELSEWHERE_MS)
-    if connections.is_shut_out(state, state.primary):
+    if connections.is_excluded_by_limit(state, state.primary):
         return outcomes.NotRun(Reason.CONNECTION_LIMIT, ELSEWHERE_MS)
     since_ms = lost_since(state, now_ms)
     if since_ms is None:
--- a/topazring/core/synchronous/questions.py
+++ b/topazring/core/synchronous/questions.py
@@ -104,7 +104,9 @@
         return False
     if now_ms - state.doubted_ms >= SILENT_MS:
         return True
-    return not all(connections.is_held(state, u.name) for u in late)
+    return not all(
+        connections.has_usable_connection(state, u.name) for u in late
+    )
 
 
 def _needs_sample(state: states.GroupState, now_ms: int) -> bool:
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -6,12 +6,12 @@
 from topazring.core import outcomes
 from topazring.core import retries
 from topazring.core.synchronous import completion
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import settling
@@ -152,7 +152,7 @@
         refusal = last
     if work is None or refusal is not None and last.code is None:
         # Begun for nobody, or behind a guard that was refused.
-        connections.make_idle(connection, now_ms)
+        connections.mark_idle(connection, now_ms)
         outs = dispatch.roll_back(state, now_ms, connection)
     elif refusal is not None:
         outs = settling.release(state, now_ms, connection, last)
@@ -210,7 +210,7 @@
     upstream.service_ms += (took_ms - upstream.service_ms) * SERVICE_WEIGHT
     upstream.service_ms = max(MIN_SERVICE_MS, upstream.service_ms)
     upstream.service_told_ms = now_ms
-    pace.adjust_room(state, upstream)
+    concurrency_limit.adjust_limit(state, upstream)
     upstream.lacked_pause_ms = 0
     retries.earn(state.budget)
 
@@ -267,7 +267,7 @@
     if reply.code is Code.BUSY:
         if upstream is not None:
             upstream.busy_until_ms = now_ms + BUSY_PAUSE_MS
-            pace.lessen_room(state, upstream)
+            concurrency_limit.reduce_limit(state, upstream)
         return completion.requeue(state, now_ms, work, Reason.SLOTS_BUSY)
     return completion.requeue(
         state, now_ms, work, Reason.UPSTREAM_FAILED, BUSY_PAUSE_MS
@@ -318,7 +318,7 @@
 ) -> list:
     """Take in the end of a connection and what it means for its work."""
     outs = record_log_positions(state, now_ms, connection, message.replies)
-    outs += connections.closed(state, now_ms, connection, message)
+    outs += connections.handle_closed(state, now_ms, connection, message)
     work = state.work.get(connection.work)
     if work is None or work.running or work.ready is not None:
         return outs
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 from topazring.core import log_positions
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import state as states
 
 __all__ = [
@@ -102,7 +102,7 @@
         return False
     if states.is_closed_to_work(upstream, now_ms):
         return False
-    return connections.is_held(state, upstream.name)
+    return connections.has_usable_connection(state, upstream.name)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -134,7 +134,7 @@
         return False
     if not states.idle_connections(state, upstream.name):
         return False
-    return pace.has_room(state, now_ms, upstream)
+    return concurrency_limit.has_capacity(state, now_ms, upstream)
 
 
 def choose_connection(
@@ -209,7 +209,7 @@
 
     Any later answer of it clears that: then the connection is at fault.
     """
-    limit_ms = pace.late_after_ms(upstream)
+    limit_ms = concurrency_limit.late_after_ms(upstream)
     return any(
         connection.phase is states.Phase.BUSY
         and now_ms - connection.sent_ms > limit_ms
--- a/topazring/core/synchronous/settling.py
+++ b/topazring/core/synchronous/settling.py
@@ -1,10 +1,10 @@
 """Settle a connection, and what is known, after an answer."""
 
 from topazring.core import log_positions
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import known_places
-from topazring.core.synchronous import pace
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -20,17 +20,17 @@
 ) -> list:
     """Free a connection that is outside any transaction, else close it."""
     connection.transaction = 0
-    pace.end(state, now_ms, connection)
+    concurrency_limit.end_hold(state, now_ms, connection)
     if last.state is not statements.SessionState.IDLE:
-        return list(connections.drop(state, connection))
-    connections.make_idle(connection, now_ms)
+        return list(connections.close_connection(state, connection))
+    connections.mark_idle(connection, now_ms)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
-        return list(connections.drop(state, connection))
+        return list(connections.close_connection(state, connection))
     # A promotion may still have to ask it.
     closed = states.is_closed_to_work(upstream, now_ms)
     if closed and state.promotion is None:
-        return list(connections.drop(state, connection))
+        return list(connections.close_connection(state, connection))
     return []
 
 
--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -10,13 +10,13 @@
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import departures
-from topazring.core.synchronous import duty
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import membership
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import promotion
+from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import sessions
 from topazring.core.synchronous import settling
@@ -109,7 +109,7 @@
 @_ablation
 def _take_one_born_again_for_itself():
     """Believe that one that began again holds what it held before."""
-    come = membership.upstreams_seen
+    come = membership.handle_upstream_list
 
     def unborn(state, now_ms, message):
         upstreams = tuple(
@@ -118,7 +118,7 @@
         )
         return come(state, now_ms, messages.UpstreamsSeen(upstreams))
 
-    return mock.patch.object(membership, 'upstreams_seen', unborn)
+    return mock.patch.object(membership, 'handle_upstream_list', unborn)
 
 
 @_ablation
@@ -178,12 +178,12 @@
 @_ablation
 def _promote_without_all_answers():
     """Promote without waiting for a silent member."""
-    members = attempts.members
+    members = attempts.required_members
 
     def answered(state, attempt):
         return [n for n in members(state, attempt) if n in attempt.reports]
 
-    return mock.patch.object(attempts, 'members', answered)
+    return mock.patch.object(attempts, 'required_members', answered)
 
 
 @_ablation
@@ -211,7 +211,7 @@
 @_ablation
 def _fence_on_old_proof():
     """Order the present primary on whatever proof was read last."""
-    return mock.patch.object(duty, 'PROOF_MS', 10_000)
+    return mock.patch.object(promotion_lease, 'PROOF_MAX_AGE_MS', 10_000)
 
 
 @_ablation
@@ -225,7 +225,7 @@
             connection.number
         ]
 
-    return mock.patch.object(connections, '_forget', forget)
+    return mock.patch.object(connections, '_remove_connection', forget)
 
 
 @_ablation
--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -166,7 +166,7 @@
         driver = failing.holder()
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         (other,) = {'u2', 'u3'} - {heir}
         driver.state.term = 2
         asked = self.controlled(driver, other)
--- a/topazring/core/synchronous/tests/test_pace.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -5,7 +5,7 @@
 import testtools
 
 from topazring.core import outcomes
-from topazring.core.synchronous import pace
+from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import support
@@ -116,14 +116,18 @@
         upstream = state.upstreams['u1']
         for _ in range(answers):
             upstream.service_ms = service_ms
-            pace.adjust_room(state, upstream)
+            concurrency_limit.adjust_limit(state, upstream)
         return state
 
     def test_less_at_work_where_statements_queue(self):
         """Down to one, never to none."""
         state = self.slowed(40, 130.0)
         self.assertEqual(1, round(state.upstreams['u1'].most_busy))
-        self.assertTrue(pace.has_room(state, 10_000, state.upstreams['u1']))
+        self.assertTrue(
+            concurrency_limit.has_capacity(
+                state, 10_000, state.upstreams['u1']
+            )
+        )
 
     def test_more_again_once_it_is_quick(self):
         """Within some sixty quick answers all may be at work."""
@@ -131,7 +135,7 @@
         upstream = state.upstreams['u1']
         for _ in range(60):
             upstream.service_ms = 15.0
-            pace.adjust_room(state, upstream)
+            concurrency_limit.adjust_limit(state, upstream)
         self.assertEqual(4, round(upstream.most_busy))
 
     def test_slow_by_nature_is_no_queue(self):
--- a/topazring/core/synchronous/tests/test_forwarding.py
+++ b/topazring/core/synchronous/tests/test_forwarding.py
@@ -32,7 +32,7 @@
     def test_all_connections_that_owners_take_are_there(self):
         """No owner is without one, and some room is left."""
         for count, most in ((74, 23), (68, 34), (64, 94), (300, 23)):
-            owned = ownership.settle('s', proxies(count), most)
+            owned = ownership.select_owners('s', proxies(count), most)
             shares = [
                 connections.share_of(most, len(owned.owners), rank)
                 for rank in range(len(owned.owners))
@@ -43,12 +43,12 @@
     def test_few_proxies_own_everything(self):
         """Each serves its own callers, and no request makes a hop."""
         for count, most in ((9, 16), (8, 23), (7, 30)):
-            owned = ownership.settle('s', proxies(count), most)
+            owned = ownership.select_owners('s', proxies(count), most)
             self.assertEqual(count, len(owned.owners))
 
     def test_owners_are_spread_over_data_centres(self):
         """Most callers find one in their own."""
-        owned = ownership.settle('s', proxies(74), 23)
+        owned = ownership.select_owners('s', proxies(74), 23)
         centres = [owner.data_centre for owner in owned.owners]
         counts = sorted(centres.count(centre) for centre in CENTRES)
         self.assertEqual([1, 2, 2], counts)
@@ -58,16 +58,18 @@
         owners = {
             owner.name
             for service in 'wxyz'
-            for owner in ownership.settle(service, proxies(74), 23).owners
+            for owner in ownership.select_owners(
+                service, proxies(74), 23
+            ).owners
         }
         self.assertGreater(len(owners), 10)
 
     def test_one_that_leaves_moves_only_its_own(self):
         """The others keep their connections."""
         everyone = proxies(74)
-        before = ownership.settle('s', everyone, 23).owners
+        before = ownership.select_owners('s', everyone, 23).owners
         left = [proxy for proxy in everyone if proxy != before[0]]
-        after = ownership.settle('s', left, 23).owners
+        after = ownership.select_owners('s', left, 23).owners
         self.assertGreaterEqual(len(set(before) & set(after)), 4)
 
     def test_others_hold_no_connection(self):
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -27,7 +27,7 @@
     def test_successor_is_not_paused(self):
         """Writes go on: the successor confirms them."""
         driver = self.leaving()
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         self.assertEqual(
             {'u2', 'u3'} - {heir}, failing.told(driver, statements.Pause)
         )
@@ -100,7 +100,7 @@
     def test_successor_catches_up_first(self):
         """The order waits until the successor holds what others confirmed."""
         driver = self.leaving()
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         other = ({'u2', 'u3'} - {heir}).pop()
         outs = failing.answer_controls(
             driver, **{heir: Place(1, 7), other: Place(1, 8)}
@@ -128,7 +128,7 @@
         test_isolation.play(driver, 400, 'u1', 'u2')
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
-        self.assertEqual('u2', driver.state.promotion.heir)
+        self.assertEqual('u2', driver.state.promotion.successor)
 
     def test_heir_that_is_gone(self):
         """Another is found; whoever bears its name now is another.
@@ -140,7 +140,7 @@
         """
         for born in ({}, {'u2': 99, 'u3': 99}):
             driver = self.leaving()
-            heir = driver.state.promotion.heir
+            heir = driver.state.promotion.successor
             names = ('u1', 'u2', 'u3') if born else ('u1', 'u2', 'u3', 'u4')
             names = tuple(n for n in names if born or n != heir)
             outs = driver.list_upstreams(
@@ -189,7 +189,7 @@
     def blocked(self) -> support.Driver:
         """Have one member stay silent until the primary is demoted."""
         driver = self.leaving()
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         for _ in range(50):
             driver.tick(20)
             driver.answer_guards()
@@ -208,7 +208,7 @@
         heir holds all that the replica may have confirmed.
         """
         driver = self.blocked()
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         (demoting,) = [
             connection
             for connection in driver.busy('u1')
@@ -224,7 +224,7 @@
     def test_demoted_primary_leads_again_if_its_heir_lacks_something(self):
         """Nobody else is known to hold all that was acknowledged."""
         driver = self.blocked()
-        heir = driver.state.promotion.heir
+        heir = driver.state.promotion.successor
         ahead = support.report(received=Place(1, 9))
         behind = support.report(received=Place(1, 5), held_term=0)
         not_leading = support.refused(statements.Code.READ_ONLY)
--- a/topazring/core/synchronous/tests/test_listing.py
+++ b/topazring/core/synchronous/tests/test_listing.py
@@ -29,8 +29,8 @@
         """Begin with a configuration and one upstream."""
         super().setUp()
         self.listing = listings.Listing()
-        listings.take(self.listing, 0, 0, 'c', configuration(7))
-        listings.take(self.listing, 0, 0, 'k', record(1))
+        listings.apply_record(self.listing, 0, 0, 'c', configuration(7))
+        listings.apply_record(self.listing, 0, 0, 'k', record(1))
 
     def test_configuration_never_goes_back(self):
         """A stale read or a late answer brings an older version.
@@ -39,7 +39,9 @@
         everything is read anew, from a copy that is seconds old. Cause:
         taking whatever comes last.
         """
-        taken = listings.take(self.listing, 9, 9, 'c', configuration(6))
+        taken = listings.apply_record(
+            self.listing, 9, 9, 'c', configuration(6)
+        )
         self.assertEqual(set(), taken)
         self.assertEqual(7, self.listing.configuration.version)
 
@@ -51,26 +53,38 @@
         says so; the upstreams write their entries anew a second later.
         Cause: taking a lapse for an end.
         """
-        listings.take_gone(self.listing, 1000, 'k')
-        self.assertEqual(set(), listings.expire(self.listing, 3000, None))
-        listings.take(self.listing, 3100, 3000, 'k', record(5))
-        self.assertEqual(set(), listings.expire(self.listing, 9000, None))
+        listings.record_removal(self.listing, 1000, 'k')
+        self.assertEqual(
+            set(), listings.remove_expired(self.listing, 3000, None)
+        )
+        listings.apply_record(self.listing, 3100, 3000, 'k', record(5))
+        self.assertEqual(
+            set(), listings.remove_expired(self.listing, 9000, None)
+        )
         self.assertEqual(1, len(listings.upstreams_of(self.listing, 9, 's')))
 
     def test_entry_that_stays_missing_is_gone(self):
         """Two seconds after the service's return."""
-        listings.take_gone(self.listing, 1000, 'k')
-        self.assertEqual({'s'}, listings.expire(self.listing, 3200, None))
+        listings.record_removal(self.listing, 1000, 'k')
+        self.assertEqual(
+            {'s'}, listings.remove_expired(self.listing, 3200, None)
+        )
 
     def test_nothing_lapses_while_the_service_is_away(self):
         """Nobody can say what is there."""
-        listings.take_gone(self.listing, 1000, 'k')
-        self.assertEqual(set(), listings.expire(self.listing, 9000, 1000))
+        listings.record_removal(self.listing, 1000, 'k')
+        self.assertEqual(
+            set(), listings.remove_expired(self.listing, 9000, 1000)
+        )
 
     def test_entry_that_said_it_leaves_is_gone_at_once(self):
         """It was announced."""
-        listings.take(self.listing, 500, 400, 'k', record(2, leaving=True))
-        self.assertEqual({'s'}, listings.take_gone(self.listing, 1000, 'k'))
+        listings.apply_record(
+            self.listing, 500, 400, 'k', record(2, leaving=True)
+        )
+        self.assertEqual(
+            {'s'}, listings.record_removal(self.listing, 1000, 'k')
+        )
 
     def test_leaving_counts_from_when_it_may_have_been_said(self):
         """The list was last complete at 400, so it may be that old.
@@ -80,27 +94,29 @@
         that it leaves; the proxy hears of it late and counts from then.
         Cause: taking the time of hearing for the time of saying.
         """
-        listings.take(self.listing, 5000, 400, 'k', record(2, leaving=True))
+        listings.apply_record(
+            self.listing, 5000, 400, 'k', record(2, leaving=True)
+        )
         (upstream,) = listings.upstreams_of(self.listing, 5100, 's')
         self.assertEqual(4700, upstream.leaving_for_ms)
 
     def test_older_entry_is_not_taken(self):
         """Pages and events overlap."""
-        listings.take(self.listing, 0, 0, 'k', record(4, leaving=True))
-        listings.take(self.listing, 0, 0, 'k', record(3))
+        listings.apply_record(self.listing, 0, 0, 'k', record(4, leaving=True))
+        listings.apply_record(self.listing, 0, 0, 'k', record(3))
         (upstream,) = listings.upstreams_of(self.listing, 0, 's')
         self.assertTrue(upstream.leaving)
 
     def test_complete_list_shows_what_is_missing(self):
         """Events of a lost history are never told."""
-        listings.forget_missing(self.listing, 0, {'c'})
-        self.assertEqual({'k': 0}, self.listing.lapsed_ms)
+        listings.reconcile(self.listing, 0, {'c'})
+        self.assertEqual({'k': 0}, self.listing.missing_since_ms)
 
     def test_each_proxy_sees_the_same_others(self):
         """So each works out the same owners, listed itself or not."""
         for name in ('p2', 'p1'):
             proxy = listings.ProxyRecord(name, 'here', '', f'{name}:7440')
-            listings.take(self.listing, 0, 0, name, proxy)
+            listings.apply_record(self.listing, 0, 0, name, proxy)
         seen = [
             listings.proxies_of(self.listing, name, 'here')
             for name in ('p1', 'p2')
@@ -114,7 +130,7 @@
     def test_where_proxies_take_requests(self):
         """As each of them listed it."""
         proxy = listings.ProxyRecord('p1', 'here', '', 'p1:7440')
-        listings.take(self.listing, 0, 0, 'p1', proxy)
+        listings.apply_record(self.listing, 0, 0, 'p1', proxy)
         found = listings.hop_addresses(self.listing)
         self.assertEqual({'p1': 'p1:7440'}, found)
 
@@ -127,14 +143,14 @@
         all others are gone. Cause: taking a lapsed entry for an end.
         """
         proxy = listings.ProxyRecord('p1', 'here')
-        listings.take(self.listing, 0, 0, 'p1', proxy)
-        listings.take_gone(self.listing, 1000, 'p1')
-        kept_ms = listings.PROXY_LAPSED_MS
-        listings.expire(self.listing, 1000 + kept_ms - 1, None)
+        listings.apply_record(self.listing, 0, 0, 'p1', proxy)
+        listings.record_removal(self.listing, 1000, 'p1')
+        kept_ms = listings.PROXY_GRACE_MS
+        listings.remove_expired(self.listing, 1000 + kept_ms - 1, None)
         self.assertIn('p1', self.listing.proxies)
-        listings.take(self.listing, 9000, 0, 'p1', proxy)
-        listings.expire(self.listing, 1000 + kept_ms, None)
+        listings.apply_record(self.listing, 9000, 0, 'p1', proxy)
+        listings.remove_expired(self.listing, 1000 + kept_ms, None)
         self.assertIn('p1', self.listing.proxies)
-        listings.take_gone(self.listing, 20_000, 'p1')
-        listings.expire(self.listing, 20_000 + kept_ms, None)
+        listings.record_removal(self.listing, 20_000, 'p1')
+        listings.remove_expired(self.listing, 20_000 + kept_ms, None)
         self.assertNotIn('p1', self.listing.proxies)
--- a/topazring/core/synchronous/tests/test_load_simulation.py
+++ b/topazring/core/synchronous/tests/test_load_simulation.py
@@ -103,7 +103,7 @@
     def crowds(self) -> list[load_simulation.LoadSimulation]:
         """Play crowds before the owners that a fleet of 64 chooses."""
         proxies = [ownership.Proxy(f'p{n}', 'abc'[n % 3]) for n in range(64)]
-        owners = len(ownership.settle('s', proxies, 94).owners)
+        owners = len(ownership.select_owners('s', proxies, 94).owners)
         found = []
         for seed in (1, 2):
             playing = load_simulation.LoadSimulation(
--- a/topazring/core/synchronous/tests/test_lost_answers.py
+++ b/topazring/core/synchronous/tests/test_lost_answers.py
@@ -65,7 +65,7 @@
         driver = self.stuck()
         (dialled, *_) = self.dials(self.play(driver, 320))
         driver.post(messages.Opened(dialled, support.Place(1, 5)))
-        self.play(driver, expiry.SILENT_MS + connections.SPARE_MS + 400)
+        self.play(driver, expiry.SILENT_MS + connections.EXCESS_IDLE_MS + 400)
         held = [
             connection
             for connection in driver.state.connections.values()
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -234,8 +234,8 @@
         attempt.unconfirmed = True
         for name, place in {'u1': Place(0, 0), **places}.items():
             report = support.report(received=place, term=2).report
-            attempts.take_report(attempt, driver.now_ms, name, report)
-        return attempts.choose(driver.state, driver.now_ms, attempt)
+            attempts.record_report(attempt, driver.now_ms, name, report)
+        return attempts.choose_primary(driver.state, driver.now_ms, attempt)
 
     def test_what_a_primary_began_with_is_not_dropped(self):
         """It may have been acknowledged under the primary before it.
--- a/topazring/core/synchronous/tests/test_shares.py
+++ b/topazring/core/synchronous/tests/test_shares.py
@@ -96,7 +96,7 @@
     def test_proxy_without_a_connection_asks_again_soon(self):
         """One that can serve nothing asks far more often than others."""
         driver = self.shut_out()
-        outs = driver.tick(connections.BARE_LIMIT_PAUSE_MS + 20)
+        outs = driver.tick(connections.UNCONNECTED_LIMIT_RETRY_MS + 20)
         self.assertEqual(1, len(opens(outs, 'u1')))
 
     def test_proxy_that_is_shut_out_refuses_at_once(self):
--- a/topazring/core/synchronous/transactions.py
+++ b/topazring/core/synchronous/transactions.py
@@ -70,7 +70,7 @@
     """Undo a transaction that nobody waits for any more."""
     state.counters['late_result'] += 1
     state.transactions.pop(connection.transaction, None)
-    connections.make_idle(connection, now_ms)
+    connections.mark_idle(connection, now_ms)
     return dispatch.roll_back(state, now_ms, connection)
 
 
@@ -84,7 +84,7 @@
 ) -> list:
     if work.request.writes:
         transaction.wrote = True
-    connections.make_idle(connection, now_ms)
+    connections.mark_idle(connection, now_ms)
     needs_ms = None if work.request.writes else transaction.needs_ms
     return completion.answer_success(state, work, connection, reply, needs_ms)
 
@@ -121,11 +121,11 @@
     stands = reply.state is SessionState.IN_TRANSACTION
     if reply.code is Code.BUSY and stands:
         state.counters[f'retry_{Reason.SLOTS_BUSY}'] += 1
-        connections.make_idle(connection, now_ms)
+        connections.mark_idle(connection, now_ms)
         return dispatch.continue_transaction(state, now_ms, work)
     request = work.request
     state.transactions.pop(request.transaction, None)
-    connections.make_idle(connection, now_ms)
+    connections.mark_idle(connection, now_ms)
     if reply.state is SessionState.IDLE:
         outs = settling.release(state, now_ms, connection, reply)
     else:
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -295,8 +295,8 @@
             away_ms = now_ms - self.away_since_ms
             self.away_since_ms = None
             # What lapsed meanwhile has its time to come back from now on.
-            for key in self.listing.lapsed_ms:
-                self.listing.lapsed_ms[key] = now_ms
+            for key in self.listing.missing_since_ms:
+                self.listing.missing_since_ms[key] = now_ms
             self.log.emit(
                 'directory', 'store regained', inputs={'away_ms': away_ms}
             )
@@ -328,7 +328,7 @@
             if not change.key.startswith(PROXY_PREFIX):
                 return set()
         if change.value is None:
-            return listings.take_gone(self.listing, now_ms, change.key)
+            return listings.record_removal(self.listing, now_ms, change.key)
         try:
             record = self._decode(change)
         except (ValueError, KeyError) as error:
@@ -339,10 +339,10 @@
                 'bad entry',
                 inputs={'key': change.key, 'error': str(error)[:BAD_ENTRY]},
             )
-            return listings.take_gone(self.listing, now_ms, change.key)
+            return listings.record_removal(self.listing, now_ms, change.key)
         if record is None:
             return set()
-        services = listings.take(
+        services = listings.apply_record(
             self.listing, now_ms, self.confirmed_ms, change.key, record
         )
         if isinstance(record, listings.Configuration):
@@ -382,5 +382,7 @@
             await asyncio.sleep(EXPIRE_S)
             now_ms = clock.suspended_ms()
             self._tell(
-                listings.expire(self.listing, now_ms, self.away_since_ms)
+                listings.remove_expired(
+                    self.listing, now_ms, self.away_since_ms
+                )
             )
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -224,7 +224,7 @@
             if group is None:
                 group = self._make_group(service)
             upstreams = listings.upstreams_of(listing, now_ms, service)
-            owned = ownership.settle(service, proxies, limit)
+            owned = ownership.select_owners(service, proxies, limit)
             self.router.owned[service] = owned
             rank = owned.rank_of(self.config.name)
             count = len(owned.owners)
