--- a/topazring/core/synchronous/arrival.py
+++ b/topazring/core/synchronous/arrival.py
@@ -5,7 +5,7 @@
 from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import dispatch
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import prospects
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import routing
 from topazring.core.synchronous import state as states
@@ -54,7 +54,7 @@
 ) -> outcomes.NotRun | None:
     """Refuse what cannot be served in time, before it has waited at all."""
     if work.primary_only:
-        hopeless = prospects.judge(state, now_ms, work)
+        hopeless = primary_availability.early_refusal(state, now_ms, work)
         if hopeless is not None:
             return hopeless
     wait_ms = _expected_wait_ms(state, now_ms, work)
--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -7,7 +7,7 @@
 import dataclasses
 
 from topazring.core import log_positions
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -107,7 +107,7 @@
     waited for: its start may take seconds.
     """
     names = required_members(state, attempt)
-    if attempt.old_primary not in names and evidence.began_again(
+    if attempt.old_primary not in names and failure_detection.is_recreated(
         state, attempt.old_primary
     ):
         names.append(attempt.old_primary)
@@ -181,7 +181,9 @@
     Then writes are confirmed, and what hangs is the answer: one was lost, or
     the replicas only apply late what they receive at once.
     """
-    before = freshness.position_at(state, now_ms - evidence.STANDING_MS)
+    before = freshness.position_at(
+        state, now_ms - failure_detection.REPLICATION_STALLED_MS
+    )
     if before is None:
         return False
     return any(
@@ -223,7 +225,7 @@
     if not answered or silent:
         return ''
     lost = attempt.old_primary
-    if evidence.began_again(state, lost):
+    if failure_detection.is_recreated(state, lost):
         if lost not in answered and has_fresh_report(attempt, now_ms, lost):
             answered.append(lost)
         lost = ''
@@ -280,7 +282,7 @@
     )
     for name in primaries:
         report = attempt.reports.get(name)
-        if report is None or evidence.began_again(state, name):
+        if report is None or failure_detection.is_recreated(state, name):
             continue
         if place >= report.received:
             return True
--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -13,8 +13,8 @@
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import request_queues
-from topazring.core.synchronous import settling
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
@@ -107,7 +107,7 @@
     if needs_ms is None:
         return answer(state, work, outcome)
     leads = connection.upstream == state.primary
-    if leads and needs_ms <= proofs.proven_ms(state):
+    if leads and needs_ms <= proofs.proven_until_ms(state):
         return answer(state, work, outcome)
     work.needs_ms = needs_ms
     return _hold(state, work, outcome, needs_ms)
@@ -135,7 +135,7 @@
     """Keep an answer until the lead is proved for a moment, or more."""
     work.ready = outcome
     state.held.add(work.request.key)
-    proofs.want(state, at_ms)
+    proofs.request_proof(state, at_ms)
     return []
 
 
@@ -158,7 +158,7 @@
     upstream = state.upstreams.get(connection.upstream)
     if upstream is not None:
         upstream.confirmed_ms = now_ms
-    if confirmations.is_sound(state, now_ms, confirmation):
+    if confirmations.is_durable(state, now_ms, confirmation):
         return _acknowledge(state, now_ms, work, confirmation, outcome)
     work.confirmation = confirmation
     state.counters['write_held'] += 1
@@ -172,7 +172,7 @@
     confirmation: known_places.Confirmation,
     outcome: outcomes.Done,
 ) -> list:
-    settling.note_confirmed(state, confirmation)
+    reply_effects.note_confirmed(state, confirmation)
     state.unsure_ms = states.NEVER_MS
     told = _tell_acknowledged(state, now_ms, work, confirmation)
     return told + answer(state, work, outcome)
@@ -224,7 +224,7 @@
         elif work.confirmation is not None:
             outs += _acknowledge_held(state, now_ms, work)
     # What was just acknowledged proves the lead for reads before it.
-    proven = proofs.proven_ms(state)
+    proven = proofs.proven_until_ms(state)
     for key in sorted(state.held):
         work = state.work[key]
         if work.confirmation is None and work.needs_ms <= proven:
@@ -237,7 +237,7 @@
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     confirmation = work.confirmation
-    if not confirmations.is_sound(state, now_ms, confirmation):
+    if not confirmations.is_durable(state, now_ms, confirmation):
         return []
     state.held.discard(work.request.key)
     return _acknowledge(state, now_ms, work, confirmation, work.ready)
@@ -253,7 +253,9 @@
     """
     carried_on: bool | None = False
     if work.confirmation is not None:
-        carried_on = confirmations.is_carried_on(state, work.confirmation)
+        carried_on = confirmations.is_in_successor_log(
+            state, work.confirmation
+        )
     if carried_on is None:
         return []
     state.held.discard(work.request.key)
--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -28,41 +28,41 @@
 """
 
 from topazring.core import log_positions
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'is_alone',
-    'is_carried_on',
-    'is_sound',
-    'is_unsure',
-    'lose_successor',
-    'note_place',
+    'are_replicas_unreachable',
+    'is_in_successor_log',
+    'is_durable',
+    'is_acknowledgement_stalled',
+    'note_successor_gone',
+    'note_log_position',
     'note_report',
-    'waiting',
+    'pending_confirmations',
     'witnesses',
 ]
 
 # The term of a group whose primary was never replaced.
 FIRST_TERM = 1
 # Proxies hear of a new member within milliseconds of each other.
-KNOWN_MS = 300
+LISTING_DELAY_MS = 300
 # A hand-over takes no longer: a successor that was silent before it began
 # would not have been chosen.
 HAND_OVER_MS = 3000
 # Whoever holds the duty has heard as well that a successor is gone, and has
 # promoted another by then. If it has not, it knows better, or never will.
-OVER_MS = 5000
+ENDED_TERM_MS = 5000
 # A confirmed write that waits for so long to be acknowledged shows that the
 # next would wait as well. Members answer within a few ms, and receive within
 # some ten at most.
-UNSURE_MS = 150
+STALLED_AFTER_MS = 150
 # After one was given up the next is tried only then: each is unknown to its
 # caller, and one that is refused may be tried at another proxy.
-UNSURE_PAUSE_MS = 500
+STALL_RETRY_MS = 500
 
 
 def witnesses(state: states.GroupState) -> list[states.Upstream]:
@@ -78,7 +78,7 @@
     return [u for u in states.others(state) if u.vouches]
 
 
-def is_sound(
+def is_durable(
     state: states.GroupState,
     now_ms: int,
     confirmation: known_places.Confirmation,
@@ -104,7 +104,7 @@
     return _is_known_to_hold(state, confirmation)
 
 
-def is_carried_on(
+def is_in_successor_log(
     state: states.GroupState, confirmation: known_places.Confirmation
 ) -> bool | None:
     """Say whether the heir of a write's primary began with the write.
@@ -131,7 +131,7 @@
     place = confirmation.place
     if place is not None and place.log_term < state.term:
         return True
-    if confirmation.sent_ms - state.over_ms >= OVER_MS:
+    if confirmation.sent_ms - state.over_ms >= ENDED_TERM_MS:
         return False
     return place is None or place.log_term <= state.over_term
 
@@ -142,7 +142,8 @@
     A replica that cannot reach it follows the old one, and confirms.
     """
     return any(
-        proofs.contests(state, upstream) for upstream in states.others(state)
+        proofs.contests_leadership(state, upstream)
+        for upstream in states.others(state)
     )
 
 
@@ -173,7 +174,9 @@
         upstream
         for upstream in states.others(state)
         if upstream.held_term <= term
-        and not evidence.is_unanswered(state, now_ms, upstream, HAND_OVER_MS)
+        and not failure_detection.is_unanswered(
+            state, now_ms, upstream, HAND_OVER_MS
+        )
     ]
     is_any_known = any(
         upstream.vouches or _is_known(upstream, confirmation)
@@ -186,7 +189,7 @@
     upstream: states.Upstream, confirmation: known_places.Confirmation
 ) -> bool:
     """Say whether a member was listed long before a write was sent."""
-    return confirmation.sent_ms - upstream.come_ms >= KNOWN_MS
+    return confirmation.sent_ms - upstream.come_ms >= LISTING_DELAY_MS
 
 
 def _is_known_to_hold(
@@ -239,29 +242,31 @@
     return end.log_term == place.log_term and end >= place
 
 
-def is_alone(state: states.GroupState, now_ms: int) -> bool:
+def are_replicas_unreachable(state: states.GroupState, now_ms: int) -> bool:
     """Say whether no member that vouches can be reached from here."""
     vouching = _vouching(state)
     return bool(vouching) and all(
-        proofs.is_unreached(state, now_ms, upstream) for upstream in vouching
+        proofs.is_unreachable(state, now_ms, upstream) for upstream in vouching
     )
 
 
-def is_unsure(state: states.GroupState, now_ms: int) -> bool:
+def is_acknowledgement_stalled(state: states.GroupState, now_ms: int) -> bool:
     """Say whether a write would be confirmed, but not acknowledged.
 
     One has waited long for that, or was given up a moment ago.
     """
-    if now_ms - state.unsure_ms < UNSURE_PAUSE_MS:
+    if now_ms - state.unsure_ms < STALL_RETRY_MS:
         return True
     return any(
-        now_ms - confirmation.confirmed_ms >= UNSURE_MS
-        for confirmation in waiting(state)
+        now_ms - confirmation.confirmed_ms >= STALLED_AFTER_MS
+        for confirmation in pending_confirmations(state)
         if confirmation.upstream == state.primary
     )
 
 
-def waiting(state: states.GroupState) -> list[known_places.Confirmation]:
+def pending_confirmations(
+    state: states.GroupState,
+) -> list[known_places.Confirmation]:
     """Return the confirmations whose writes wait to be acknowledged."""
     held = (state.work.get(key) for key in state.held)
     return [
@@ -271,14 +276,14 @@
     ]
 
 
-def lose_successor(state: states.GroupState, now_ms: int) -> None:
+def note_successor_gone(state: states.GroupState, now_ms: int) -> None:
     """Take in that one is gone that was to follow the last primary."""
     state.successor_gone = True
     state.over_term = max(state.term, FIRST_TERM)
     state.over_ms = now_ms
 
 
-def note_place(
+def note_log_position(
     upstream: states.Upstream, sent_ms: int, place: log_positions.LogPosition
 ) -> None:
     """Take in what a member has applied, asked at a time.
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -8,9 +8,9 @@
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
+from topazring.core.synchronous import member_queries
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import questions
 from topazring.core.synchronous import request_queues
 from topazring.core.synchronous import routing
 from topazring.core.synchronous import state as states
@@ -34,7 +34,7 @@
 
     What proves the lead goes first: answers that are ready wait for it.
     """
-    outs: list = questions.ask(state, now_ms)
+    outs: list = member_queries.send_queries(state, now_ms)
     outs += _serve_at_primary(state, now_ms)
     return outs + _serve_anywhere(state, now_ms)
 
@@ -156,7 +156,7 @@
     _assign(state, work, connection)
     outs = _tell_sent(state, now_ms, work, connection, after)
     if after is None and proofs.needs_proof(request):
-        proofs.want(state, request.arrived_ms)
+        proofs.request_proof(state, request.arrived_ms)
     if request.begins:
         commands = exchanges.begin_commands(connection, request, after)
         errand = states.Errand.BEGINNING
@@ -164,7 +164,7 @@
         commands = exchanges.single_commands(connection, request, after)
         errand = states.Errand.STATEMENT
     outs.append(connections.send(connection, now_ms, errand, commands))
-    return outs + questions.ask(state, now_ms)
+    return outs + member_queries.send_queries(state, now_ms)
 
 
 def _tell_sent(
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -6,11 +6,11 @@
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import isolation
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import prospects
 from topazring.core.synchronous import results
 from topazring.core.synchronous import state as states
 
@@ -103,7 +103,7 @@
 def _hopeless(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    hopeless = prospects.judge(state, now_ms, work)
+    hopeless = primary_availability.early_refusal(state, now_ms, work)
     if hopeless is None:
         return []
     return completion.give_up(
@@ -117,12 +117,12 @@
     """Give up an answer that waits for what cannot be had from here."""
     if work.confirmation is not None:
         waited_ms = now_ms - work.confirmation.sent_ms
-        alone = confirmations.is_alone(state, now_ms)
-        if not alone or waited_ms < proofs.DOUBT_MS:
+        alone = confirmations.are_replicas_unreachable(state, now_ms)
+        if not alone or waited_ms < proofs.UNPROVEN_AFTER_MS:
             return []
-    elif not proofs.in_doubt(state, now_ms):
+    elif not proofs.is_leadership_unproven(state, now_ms):
         return []
-    retry_ms = prospects.ELSEWHERE_MS
+    retry_ms = primary_availability.OTHER_PROXY_RETRY_MS
     return completion.give_up(
         state, now_ms, work, Reason.UNPROVEN, retry_ms, maybe_ran=True
     )
@@ -149,7 +149,7 @@
         heard_ms = 0 if upstream is None else upstream.heard_ms
         if heard_ms > connection.sent_ms:
             return False
-        if now_ms - connection.sent_ms < evidence.SILENT_MS:
+        if now_ms - connection.sent_ms < failure_detection.SILENT_MS:
             return False
     return True
 
@@ -162,7 +162,7 @@
     It must not be acknowledged here once another leads on the other side.
     """
     return any(
-        evidence.waits_for_replica(state.connections[number])
+        failure_detection.waits_for_replica(state.connections[number])
         and now_ms - state.connections[number].sent_ms >= isolation.HANGING_MS
         for number in work.running
     )
--- a/topazring/core/synchronous/evidence.py
+++ b/topazring/core/synchronous/failure_detection.py
@@ -15,12 +15,12 @@
 
 __all__ = [
     'Loss',
-    'began_again',
-    'hanging_since',
+    'is_recreated',
+    'writes_hanging_since',
     'is_unanswered',
-    'judge',
+    'detect_loss',
     'needs_dial',
-    'silent',
+    'detect_silence',
     'unanswered_since',
     'waits_for_replica',
 ]
@@ -38,15 +38,15 @@
 HANGING_MS = 600
 # Replicas receive within milliseconds. One that lacks what the primary held so
 # long ago does not follow, or applies late.
-STANDING_MS = 500
+REPLICATION_STALLED_MS = 500
 # While they apply late they are asked no more often what they received.
-LOOK_AGAIN_MS = 1000
+STALL_RECHECK_MS = 1000
 # A promotion that is under way shows within its own time, which is at most a
 # second; a group without a primary for longer needs another.
-ABSENT_MS = 1500
+NO_PRIMARY_MS = 1500
 # After a pause of this process, silence counts again once answers that were
 # under way had time to be read.
-BLIND_MS = 400
+RESUME_GRACE_MS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     replaced: bool = False
 
 
-def began_again(state: states.GroupState, name: str) -> bool:
+def is_recreated(state: states.GroupState, name: str) -> bool:
     """Say whether another bears the name of the last primary now."""
     upstream = state.upstreams.get(name)
     if upstream is None or name != state.last_primary:
@@ -70,12 +70,12 @@
     return upstream.born_ms != state.last_primary_born_ms
 
 
-def judge(state: states.GroupState, now_ms: int) -> Loss | None:
+def detect_loss(state: states.GroupState, now_ms: int) -> Loss | None:
     """Return the loss of the primary, None while it may be alive."""
-    if now_ms - state.woke_ms < BLIND_MS and state.woke_ms:
+    if now_ms - state.woke_ms < RESUME_GRACE_MS and state.woke_ms:
         return None
     last = state.last_primary
-    if state.primary in ('', last) and began_again(state, last):
+    if state.primary in ('', last) and is_recreated(state, last):
         return Loss(last, 'it began again', now_ms)
     if not state.primary and not state.successor_gone:
         return _absent(state, now_ms)
@@ -83,7 +83,7 @@
     upstream = state.upstreams.get(name)
     if upstream is None:
         return Loss(name, 'it is listed no more', now_ms)
-    loss = silent(state, now_ms, upstream)
+    loss = detect_silence(state, now_ms, upstream)
     if loss is not None:
         return loss
     if state.successor_gone:
@@ -98,12 +98,12 @@
 def _absent(state: states.GroupState, now_ms: int) -> Loss | None:
     """Return a loss if nobody leads: a promotion was broken off."""
     since_ms = state.primary_lost_ms
-    if since_ms is None or now_ms - since_ms < ABSENT_MS:
+    if since_ms is None or now_ms - since_ms < NO_PRIMARY_MS:
         return None
     return Loss('', 'nobody leads', since_ms)
 
 
-def silent(
+def detect_silence(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> Loss | None:
     """Return a loss if nothing gets an answer, a new dial neither."""
@@ -157,13 +157,13 @@
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> Loss | None:
     """Return a loss if writes hang while everything else is answered."""
-    since_ms = hanging_since(state, upstream.name)
+    since_ms = writes_hanging_since(state, upstream.name)
     if since_ms is None or now_ms - since_ms < HANGING_MS:
         return None
     return Loss(upstream.name, 'its writes are not confirmed', since_ms, True)
 
 
-def hanging_since(state: states.GroupState, name: str) -> int | None:
+def writes_hanging_since(state: states.GroupState, name: str) -> int | None:
     """Return since when no write of an upstream has been confirmed.
 
     None if none waits. If others were confirmed meanwhile, the answer alone
@@ -189,22 +189,23 @@
     Places are those that replicas have applied, so that also looks like
     this when they apply late. Whoever takes it up looks first.
     """
-    if now_ms - state.looked_ms < LOOK_AGAIN_MS:
+    if now_ms - state.looked_ms < STALL_RECHECK_MS:
         return None
     if unanswered_since(state, upstream) is not None:
         # Whether it answers at all is to be seen first.
         return None
-    before = freshness.position_at(state, now_ms - STANDING_MS)
+    before = freshness.position_at(state, now_ms - REPLICATION_STALLED_MS)
     if before is None:
         return None
     replicas = states.others(state)
     if not replicas or any(
-        other.place >= before or now_ms - other.place_ms > STANDING_MS
+        other.place >= before
+        or now_ms - other.place_ms > REPLICATION_STALLED_MS
         for other in replicas
     ):
         return None
     why = 'no replica follows it'
-    return Loss(upstream.name, why, now_ms - STANDING_MS, True)
+    return Loss(upstream.name, why, now_ms - REPLICATION_STALLED_MS, True)
 
 
 def waits_for_replica(connection: states.Connection) -> bool:
--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -8,20 +8,20 @@
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import dispatch
-from topazring.core.synchronous import evidence
 from topazring.core.synchronous import expiry
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import isolation
+from topazring.core.synchronous import member_queries
 from topazring.core.synchronous import member_replies
 from topazring.core.synchronous import membership
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import primary
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import promotion
 from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import promotion_order
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import prospects
-from topazring.core.synchronous import questions
 from topazring.core.synchronous import queue_report
 from topazring.core.synchronous import results
 from topazring.core.synchronous import state as states
@@ -98,7 +98,7 @@
     state: states.GroupState, now_ms: int, message: messages.UpstreamsSeen
 ) -> list:
     outs = membership.handle_upstream_list(state, now_ms, message)
-    outs += primary.settle(state, now_ms)
+    outs += primary.adopt_listed_primary(state, now_ms)
     outs += connections.open_missing(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
@@ -140,8 +140,8 @@
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None:
         return outs
-    primary.note_place(state, now_ms, upstream, message.place)
-    outs += primary.ask_claims(state, now_ms)
+    primary.note_log_position(state, now_ms, upstream, message.place)
+    outs += primary.resolve_claims(state, now_ms)
     outs += _go_on_promoting(state, now_ms)
     outs += connections.open_missing(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
@@ -160,7 +160,7 @@
         outs = results.handle_replies(state, now_ms, connection, message)
         outs += promotion_lease.fence_earlier_orders(state, now_ms)
     outs += completion.answer_proven(state, now_ms)
-    outs += primary.ask_claims(state, now_ms)
+    outs += primary.resolve_claims(state, now_ms)
     return outs + dispatch.start_waiting(state, now_ms)
 
 
@@ -208,7 +208,7 @@
     outs += membership.close_leaving_connections(state, now_ms)
     outs += promotion.tick(state, now_ms)
     outs += _guard(state, now_ms)
-    outs += primary.ask_claims(state, now_ms)
+    outs += primary.resolve_claims(state, now_ms)
     outs += connections.apply_larger_share(state, now_ms)
     outs += connections.close_excess(state, now_ms)
     outs += connections.open_missing(state, now_ms)
@@ -258,10 +258,10 @@
 
 def _guard(state: states.GroupState, now_ms: int) -> list:
     """Ask the primary whether it leads, or everyone while it is unknown."""
-    lost = prospects.lost_since(state, now_ms) is not None
+    lost = primary_availability.lost_since(state, now_ms) is not None
     searching = lost or not state.primary or state.promotion is not None
     searching = searching or isolation.is_probing(state, now_ms)
-    searching = searching or proofs.in_doubt(state, now_ms)
+    searching = searching or proofs.is_leadership_unproven(state, now_ms)
     if searching:
         period_ms = SEARCH_MS
     elif state.holds_duty:
@@ -281,7 +281,7 @@
     else:
         # Waited for as reads are: a member that is silent has a witness
         # asked instead.
-        proofs.want(state, now_ms)
+        proofs.request_proof(state, now_ms)
     outs: list = []
     for name in names:
         outs += _guard_one(state, now_ms, name)
@@ -308,9 +308,11 @@
     if upstream is None:
         return []
     outs: list = []
-    if state.holds_duty and evidence.needs_dial(state, now_ms, upstream):
+    if state.holds_duty and failure_detection.needs_dial(
+        state, now_ms, upstream
+    ):
         outs += connections.dial_beyond_share(state, now_ms, name)
-    return outs + questions.guard(state, now_ms, upstream)
+    return outs + member_queries.send_leadership_check(state, now_ms, upstream)
 
 
 @_handles(messages.Abandon)
--- a/topazring/core/synchronous/isolation.py
+++ b/topazring/core/synchronous/isolation.py
@@ -16,7 +16,7 @@
 """
 
 from topazring.core.synchronous import confirmations
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 
@@ -26,7 +26,7 @@
 # proxy 300 ms and a promotion 300 more at least.
 HANGING_MS = 300
 # From then on replicas are asked whether they can be reached.
-PROBE_MS = 120
+PROBE_AFTER_MS = 120
 
 
 def update(state: states.GroupState, now_ms: int) -> list:
@@ -50,16 +50,18 @@
     """Say whether replicas have to be asked whether they can be reached."""
     if state.isolated_with:
         return True
-    since_ms = evidence.hanging_since(state, state.primary)
-    return since_ms is not None and now_ms - since_ms >= PROBE_MS
+    since_ms = failure_detection.writes_hanging_since(state, state.primary)
+    return since_ms is not None and now_ms - since_ms >= PROBE_AFTER_MS
 
 
 def _begins(state: states.GroupState, now_ms: int) -> bool:
-    if not state.primary or not confirmations.is_alone(state, now_ms):
+    if not state.primary or not confirmations.are_replicas_unreachable(
+        state, now_ms
+    ):
         return False
-    if confirmations.is_unsure(state, now_ms):
+    if confirmations.is_acknowledgement_stalled(state, now_ms):
         return True
-    since_ms = evidence.hanging_since(state, state.primary)
+    since_ms = failure_detection.writes_hanging_since(state, state.primary)
     if since_ms is not None and now_ms - since_ms >= HANGING_MS:
         return True
     return any(not replica.vouches for replica in states.others(state))
--- a/topazring/core/synchronous/questions.py
+++ b/topazring/core/synchronous/member_queries.py
@@ -13,36 +13,41 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['SILENT_MS', 'WITNESS_SAMPLE_GAP_MS', 'ask', 'guard']
+__all__ = [
+    'SILENT_MS',
+    'WITNESS_SAMPLE_INTERVAL_MS',
+    'send_queries',
+    'send_leadership_check',
+]
 
 # A member that has left a question unanswered for so long is not waited for:
 # the others are asked for their terms. Answers take a few ms, and some ten
 # behind a statement on the same connection.
 SILENT_MS = 60
 # Nobody is asked for its term more often: each question takes a slot.
-WITNESS_MS = 40
+WITNESS_INTERVAL_MS = 40
 # Without a read that waits it is asked only for a sample, once the newest is
 # so old, and then no more often than that. Staleness bounds in use begin at
 # 1,500 ms.
-WITNESS_SAMPLE_MS = 700
-WITNESS_SAMPLE_GAP_MS = 200
+WITNESS_SAMPLE_AGE_MS = 700
+WITNESS_SAMPLE_INTERVAL_MS = 200
 # Who holds a write is asked again after that long. Replicas receive within a
 # few ms of each other.
-HOLDER_MS = 20
+HOLDER_INTERVAL_MS = 20
 
 
-def ask(state: states.GroupState, now_ms: int) -> list[messages.Send]:
+def send_queries(state: states.GroupState, now_ms: int) -> list[messages.Send]:
     """Send the questions whose answers are wanted, where one is not open."""
     if not state.primary:
         return []
     outs = _ask_holders(state, now_ms)
-    if proofs.proven_ms(state) >= state.wanted_ms:
+    if proofs.proven_until_ms(state) >= state.wanted_ms:
         return outs
     others = states.others(state)
     for upstream in others:
         if upstream.asked_ms >= state.wanted_ms:
             continue
-        outs += guard(state, now_ms, upstream)
+        outs += send_leadership_check(state, now_ms, upstream)
     return outs + _ask_witnesses(state, now_ms, others)
 
 
@@ -58,7 +63,7 @@
     return [connections.send(free[0], now_ms, errand, exchanges.STATUS_QUERY)]
 
 
-def guard(
+def send_leadership_check(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list[messages.Send]:
     """Ask an upstream whether it leads, if a connection to it is free."""
@@ -74,7 +79,7 @@
 
 def _ask_holders(state: states.GroupState, now_ms: int) -> list[messages.Send]:
     """Ask who holds the writes that wait to be acknowledged."""
-    waiting = confirmations.waiting(state)
+    waiting = confirmations.pending_confirmations(state)
     if not waiting:
         return []
     newest_ms = max(confirmation.confirmed_ms for confirmation in waiting)
@@ -85,9 +90,9 @@
     outs = []
     for upstream in asked:
         is_asked = upstream.report_asked_ms >= newest_ms
-        if is_asked and now_ms - upstream.report_asked_ms < HOLDER_MS:
+        if is_asked and now_ms - upstream.report_asked_ms < HOLDER_INTERVAL_MS:
             continue
-        if not proofs.is_unreached(state, now_ms, upstream):
+        if not proofs.is_unreachable(state, now_ms, upstream):
             outs += _ask_report(state, now_ms, upstream)
     return outs
 
@@ -100,7 +105,7 @@
         return False
     waited_for = state.held or _needs_sample(state, now_ms)
     # In doubt reads are refused, so none waits that would have it asked.
-    if not waited_for and not proofs.in_doubt(state, now_ms):
+    if not waited_for and not proofs.is_leadership_unproven(state, now_ms):
         return False
     if now_ms - state.doubted_ms >= SILENT_MS:
         return True
@@ -111,7 +116,7 @@
 
 def _needs_sample(state: states.GroupState, now_ms: int) -> bool:
     newest_ms = freshness.newest_sample_ms(state)
-    return newest_ms is None or now_ms - newest_ms >= WITNESS_SAMPLE_MS
+    return newest_ms is None or now_ms - newest_ms >= WITNESS_SAMPLE_AGE_MS
 
 
 def _ask_witnesses(
@@ -123,7 +128,7 @@
     late = [u for u in others if u.refused_sent_ms < state.wanted_ms]
     if not _is_silent(state, now_ms, late):
         return []
-    gap_ms = WITNESS_MS if state.held else WITNESS_SAMPLE_GAP_MS
+    gap_ms = WITNESS_INTERVAL_MS if state.held else WITNESS_SAMPLE_INTERVAL_MS
     outs = []
     for upstream in others:
         if upstream.witness_sent_ms >= state.wanted_ms:
@@ -131,7 +136,7 @@
         if now_ms - upstream.witness_asked_ms < gap_ms:
             continue
         free = states.idle_connections(state, upstream.name)
-        if free and not proofs.is_unreached(state, now_ms, upstream):
+        if free and not proofs.is_unreachable(state, now_ms, upstream):
             upstream.witness_asked_ms = now_ms
             errand = states.Errand.LOOK
             status = (statements.Status(),)
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -53,9 +53,9 @@
     acknowledged write that is gone after the next promotion.
     """
     upstream = state.upstreams.pop(name)
-    if proofs.contests(state, upstream):
+    if proofs.contests_leadership(state, upstream):
         # Perhaps only its own log told of its term.
-        confirmations.lose_successor(state, now_ms)
+        confirmations.note_successor_gone(state, now_ms)
     paused_at = None
     if state.promotion is not None:
         paused_at = attempts.paused_log_end(state.promotion, now_ms, name)
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -11,30 +11,30 @@
 from topazring.core import log_positions
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import prospects
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'ask_claims',
-    'note_leads',
-    'note_place',
-    'note_refuted',
+    'resolve_claims',
+    'note_begin_accepted',
+    'note_log_position',
+    'note_not_leading',
     'note_report',
-    'settle',
+    'adopt_listed_primary',
 ]
 
 # A replaced primary is told again after that long that it leads no more.
-DEPOSE_AGAIN_MS = 200
+DEMOTE_RETRY_MS = 200
 # Who claims to lead is asked for its term no more often.
-QUESTION_MS = 100
+TERM_QUERY_INTERVAL_MS = 100
 
 
-def note_place(
+def note_log_position(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
@@ -52,7 +52,7 @@
     state.term = max(state.term, place.log_term)
 
 
-def note_leads(
+def note_begin_accepted(
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
@@ -61,7 +61,7 @@
     """Take in that an upstream took a transaction that was sent then."""
     upstream.refuted_ms = None
     upstream.took_sent_ms = max(upstream.took_sent_ms, sent_ms)
-    if not proofs.leads_newest(state, upstream):
+    if not proofs.leads_newest_term(state, upstream):
         _question(state, upstream, sent_ms)
         return []
     rival = state.upstreams.get(state.primary)
@@ -102,7 +102,7 @@
     """Say whether an upstream may still lead in its own eyes."""
     if upstream.refuted_ms is not None or not upstream.heard_ms:
         return False
-    return evidence.silent(state, now_ms, upstream) is None
+    return failure_detection.detect_silence(state, now_ms, upstream) is None
 
 
 def _accept(
@@ -136,7 +136,7 @@
         _outrank(upstream, sent_ms)
 
 
-def ask_claims(state: states.GroupState, now_ms: int) -> list:
+def resolve_claims(state: states.GroupState, now_ms: int) -> list:
     """Ask for the terms of claims, and depose replaced primaries.
 
     One that was replaced would learn of it by itself a second after it
@@ -155,7 +155,7 @@
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.questioned_ms < QUESTION_MS:
+    if not free or now_ms - upstream.questioned_ms < TERM_QUERY_INTERVAL_MS:
         return []
     upstream.questioned_ms = now_ms
     errand = states.Errand.LOOK
@@ -170,7 +170,7 @@
         upstream.to_depose = False
         return []
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.deposed_ms < DEPOSE_AGAIN_MS:
+    if not free or now_ms - upstream.deposed_ms < DEMOTE_RETRY_MS:
         return []
     upstream.to_depose = False
     upstream.deposed_ms = now_ms
@@ -200,11 +200,11 @@
     confirmations.note_report(upstream, sent_ms, report)
     proofs.note_report(state, upstream, sent_ms, report)
     if report.role is statements.Role.REPLICA:
-        return note_refuted(state, now_ms, upstream)
-    return note_leads(state, now_ms, upstream, sent_ms)
+        return note_not_leading(state, now_ms, upstream)
+    return note_begin_accepted(state, now_ms, upstream, sent_ms)
 
 
-def note_refuted(
+def note_not_leading(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     """Take in that an upstream refused as one that does not lead."""
@@ -222,7 +222,7 @@
         messages.Decided(
             'primary deposed', inputs={'upstream': upstream.name}
         ),
-        *settle(state, now_ms),
+        *adopt_listed_primary(state, now_ms),
     ]
 
 
@@ -234,7 +234,7 @@
     state.unsure_ms = states.NEVER_MS
 
 
-def settle(state: states.GroupState, now_ms: int) -> list:
+def adopt_listed_primary(state: states.GroupState, now_ms: int) -> list:
     """Believe the list where no connection has said otherwise."""
     claims = [
         upstream
@@ -253,7 +253,7 @@
         if _claims(state, now_ms, current) and current.took_sent_ms > 0:
             # It takes transactions: terms decide, once both are asked. An
             # entry says what its writer believes, and may be late.
-            proofs.want(state, now_ms)
+            proofs.request_proof(state, now_ms)
             return []
     return _lead(state, now_ms, newest, 'the list says so')
 
@@ -267,7 +267,7 @@
     before = state.primary
     if before == upstream.name:
         return []
-    lost_ms = prospects.lost_since(state, now_ms)
+    lost_ms = primary_availability.lost_since(state, now_ms)
     state.primary = upstream.name
     state.led_ms = now_ms
     state.departures.note_lead(upstream.name)
@@ -278,7 +278,7 @@
     state.primary_lost_ms = None
     _forget_proofs(state)
     if lost_ms is not None:
-        prospects.note_gap(state, now_ms - lost_ms)
+        primary_availability.note_outage(state, now_ms - lost_ms)
     return [
         messages.Decided(
             'primary',
--- a/topazring/core/synchronous/prospects.py
+++ b/topazring/core/synchronous/primary_availability.py
@@ -10,23 +10,28 @@
 from topazring.core import outcomes
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 
-__all__ = ['ELSEWHERE_MS', 'judge', 'lost_since', 'note_gap']
+__all__ = [
+    'OTHER_PROXY_RETRY_MS',
+    'early_refusal',
+    'lost_since',
+    'note_outage',
+]
 
 Reason = outcomes.Reason
 
 # Of a new gap so much enters the estimate.
-GAP_WEIGHT = 0.3
-LEAST_GAP_MS = 400
-MOST_GAP_MS = 2500
+OUTAGE_WEIGHT = 0.3
+MIN_OUTAGE_MS = 400
+MAX_OUTAGE_MS = 2500
 # A promotion that takes this many times as long as usual is overdue.
-OVERDUE_TIMES = 1.3
+OVERDUE_FACTOR = 1.3
 # When to come back to another proxy, which has room at once.
-ELSEWHERE_MS = 50
+OTHER_PROXY_RETRY_MS = 50
 
 
 def lost_since(state: states.GroupState, now_ms: int) -> int | None:
@@ -39,13 +44,13 @@
     if states.is_closed_to_work(upstream, now_ms):
         # It leaves, and was not replaced in time.
         return upstream.closed_to_work_ms
-    since_ms = evidence.unanswered_since(state, upstream)
-    if since_ms is None or now_ms - since_ms < evidence.SILENT_MS:
+    since_ms = failure_detection.unanswered_since(state, upstream)
+    if since_ms is None or now_ms - since_ms < failure_detection.SILENT_MS:
         return None
     return since_ms
 
 
-def judge(
+def early_refusal(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> outcomes.NotRun | None:
     """Return the refusal of a request that the primary cannot serve in time.
@@ -53,19 +58,19 @@
     A single write needs no proof of the lead: its confirmation is one.
     """
     if state.isolated_with:
-        return outcomes.NotRun(Reason.NO_PRIMARY, ELSEWHERE_MS)
+        return outcomes.NotRun(Reason.NO_PRIMARY, OTHER_PROXY_RETRY_MS)
     if connections.is_excluded_by_limit(state, state.primary):
-        return outcomes.NotRun(Reason.CONNECTION_LIMIT, ELSEWHERE_MS)
+        return outcomes.NotRun(Reason.CONNECTION_LIMIT, OTHER_PROXY_RETRY_MS)
     since_ms = lost_since(state, now_ms)
     if since_ms is None:
         if _would_be_unsure(state, now_ms, work.request):
-            return outcomes.NotRun(Reason.NOT_CONFIRMED, ELSEWHERE_MS)
+            return outcomes.NotRun(Reason.NOT_CONFIRMED, OTHER_PROXY_RETRY_MS)
         needs_proof = proofs.needs_proof(work.request)
-        if needs_proof and proofs.in_doubt(state, now_ms):
-            return outcomes.NotRun(Reason.UNPROVEN, ELSEWHERE_MS)
+        if needs_proof and proofs.is_leadership_unproven(state, now_ms):
+            return outcomes.NotRun(Reason.UNPROVEN, OTHER_PROXY_RETRY_MS)
         return None
-    if now_ms - since_ms > state.gap_ms * OVERDUE_TIMES:
-        return outcomes.NotRun(Reason.NO_PRIMARY, ELSEWHERE_MS)
+    if now_ms - since_ms > state.gap_ms * OVERDUE_FACTOR:
+        return outcomes.NotRun(Reason.NO_PRIMARY, OTHER_PROXY_RETRY_MS)
     back_ms = since_ms + int(state.gap_ms)
     if back_ms > work.deadline_ms:
         return outcomes.NotRun(Reason.NO_PRIMARY, back_ms - now_ms)
@@ -83,10 +88,10 @@
     opens = request.begins and not request.read_only
     if not request.writes and not opens:
         return False
-    return confirmations.is_unsure(state, now_ms)
+    return confirmations.is_acknowledgement_stalled(state, now_ms)
 
 
-def note_gap(state: states.GroupState, gap_ms: int) -> None:
+def note_outage(state: states.GroupState, gap_ms: int) -> None:
     """Learn from a gap that ended."""
-    gap_ms = min(MOST_GAP_MS, max(LEAST_GAP_MS, gap_ms))
-    state.gap_ms += (gap_ms - state.gap_ms) * GAP_WEIGHT
+    gap_ms = min(MAX_OUTAGE_MS, max(MIN_OUTAGE_MS, gap_ms))
+    state.gap_ms += (gap_ms - state.gap_ms) * OUTAGE_WEIGHT
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -19,12 +19,12 @@
 meanwhile, for one that only others know may hold it as well.
 """
 
-from topazring.core.synchronous import asking
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import promotion_commands
 from topazring.core.synchronous import promotion_end
 from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import promotion_order
@@ -52,7 +52,7 @@
         return _yield_to_another(state)
     if now_ms < state.next_promotion_ms:
         return []
-    loss = evidence.judge(state, now_ms)
+    loss = failure_detection.detect_loss(state, now_ms)
     if loss is not None:
         return _begin(state, now_ms, loss.upstream, loss.why, loss)
     old = state.upstreams.get(state.primary)
@@ -61,7 +61,7 @@
         if heir:
             why = 'it leaves'
             return _begin(state, now_ms, old.name, why, None, heir)
-    return asking.resume(state, now_ms)
+    return promotion_commands.resume_paused(state, now_ms)
 
 
 def _yield_to_another(state: states.GroupState) -> list:
@@ -90,7 +90,7 @@
     reached = [
         upstream
         for upstream in staying
-        if not proofs.is_unreached(state, now_ms, upstream)
+        if not proofs.is_unreachable(state, now_ms, upstream)
     ]
     ahead = max(reached or staying, key=lambda u: (u.place, u.vouches, u.name))
     return ahead.name
@@ -101,7 +101,7 @@
     now_ms: int,
     old: str,
     why: str,
-    loss: evidence.Loss | None,
+    loss: failure_detection.Loss | None,
     heir: str = '',
 ) -> list:
     state.token += 1
@@ -144,7 +144,7 @@
     if attempt.chosen:
         return _stand_by(state, now_ms, attempt)
     outs = promotion_order.request_list(now_ms, attempt)
-    outs += asking.ask(state, now_ms, attempt)
+    outs += promotion_commands.send_commands(state, now_ms, attempt)
     chosen = attempts.choose_primary(state, now_ms, attempt)
     if not chosen:
         return outs
@@ -193,7 +193,7 @@
         return promotion_end.finish(state, now_ms, attempt, 'overtaken')
     outs = promotion_order.resend_order(state, now_ms, attempt)
     if not attempt.unconfirmed:
-        outs += asking.ask(state, now_ms, attempt)
+        outs += promotion_commands.send_commands(state, now_ms, attempt)
     return outs
 
 
@@ -224,7 +224,7 @@
         'since_ms': now_ms - attempt.since_ms,
     }
     decided = messages.Decided('promotion begins', inputs=inputs)
-    return [decided, *asking.ask(state, now_ms, attempt)]
+    return [decided, *promotion_commands.send_commands(state, now_ms, attempt)]
 
 
 def _end(
@@ -258,12 +258,15 @@
         )
     old = state.upstreams.get(attempt.old_primary)
     if attempt.is_query_only and old is not None:
-        if evidence.silent(state, now_ms, old) is not None:
+        if failure_detection.detect_silence(state, now_ms, old) is not None:
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
     if attempt.successor:
-        if old is None or evidence.judge(state, now_ms) is not None:
+        if (
+            old is None
+            or failure_detection.detect_loss(state, now_ms) is not None
+        ):
             return promotion_end.finish(
                 state, now_ms, attempt, 'lost meanwhile'
             )
@@ -292,7 +295,7 @@
     it was to replace is replaced by the next attempt, also if it is back.
     """
     if attempt.chosen:
-        confirmations.lose_successor(state, now_ms)
+        confirmations.note_successor_gone(state, now_ms)
     return promotion_end.finish(state, now_ms, attempt, 'lost meanwhile')
 
 
@@ -314,7 +317,10 @@
             attempts.forget_reports(attempt)
             inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
             decided = messages.Decided('hand-over blocked', inputs=inputs)
-            return [decided, *asking.ask(state, now_ms, attempt)]
+            return [
+                decided,
+                *promotion_commands.send_commands(state, now_ms, attempt),
+            ]
         return None
     if now_ms - attempt.demoting_since_ms < CHOICE_TIMEOUT_MS:
         return None
--- a/topazring/core/synchronous/asking.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -2,27 +2,31 @@
 
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['ask', 'resume']
+__all__ = ['send_commands', 'resume_paused']
 
 # A member that has not answered is asked again, on another connection.
-ASK_AGAIN_MS = 200
+COMMAND_RETRY_MS = 200
 # How often a successor's log is looked at while it catches up.
-LOOK_MS = 30
+STATUS_INTERVAL_MS = 30
 
 
-def ask(
+def send_commands(
     state: states.GroupState, now_ms: int, attempt: attempts.Attempt
 ) -> list:
     """Have members pause, or tell where their logs stand."""
     outs: list = []
     for name in attempts.members_to_query(state, attempt):
         asked_ms = attempt.asked_ms.get(name)
-        again_ms = LOOK_MS if name == attempt.successor else ASK_AGAIN_MS
+        again_ms = (
+            STATUS_INTERVAL_MS
+            if name == attempt.successor
+            else COMMAND_RETRY_MS
+        )
         if name != attempt.successor and attempts.has_fresh_report(
             attempt, now_ms, name
         ):
@@ -34,7 +38,7 @@
             command = statements.Status()
         elif _is_to_demote(state, attempt, name):
             command = statements.Demote(attempt.term)
-        sent = control(state, now_ms, name, command)
+        sent = send_control(state, now_ms, name, command)
         outs += sent
         if not any(isinstance(out, messages.Send) for out in sent):
             # Only dialled; asked as soon as that is answered.
@@ -50,12 +54,12 @@
 ) -> bool:
     if name in attempt.stale_primaries:
         return True
-    return name == attempt.old_primary and not evidence.began_again(
+    return name == attempt.old_primary and not failure_detection.is_recreated(
         state, name
     )
 
 
-def control(
+def send_control(
     state: states.GroupState,
     now_ms: int,
     upstream: str,
@@ -69,7 +73,7 @@
     return connections.dial_beyond_share(state, now_ms, upstream)
 
 
-def resume(state: states.GroupState, now_ms: int) -> list:
+def resume_paused(state: states.GroupState, now_ms: int) -> list:
     """Have every replica receive again that an attempt had paused."""
     outs: list = []
     if not state.primary or state.unfenced:
@@ -86,5 +90,5 @@
             for connection in states.connections_to(state, name)
         )
         if not under_way:
-            outs += control(state, now_ms, name, statements.Resume())
+            outs += send_control(state, now_ms, name, statements.Resume())
     return outs
--- a/topazring/core/synchronous/promotion_end.py
+++ b/topazring/core/synchronous/promotion_end.py
@@ -1,8 +1,8 @@
 """End an attempt to replace a primary."""
 
-from topazring.core.synchronous import asking
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import promotion_commands
 from topazring.core.synchronous import state as states
 
 __all__ = ['finish']
@@ -35,7 +35,7 @@
             'took_ms': now_ms - attempt.began_ms,
         },
     )
-    outs: list = [decided, *asking.resume(state, now_ms)]
+    outs: list = [decided, *promotion_commands.resume_paused(state, now_ms)]
     if how != 'nobody may follow':
         return outs
     # On the wrong side of a partition: another may reach them.
--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -70,7 +70,7 @@
     wanted = state.holds_duty and state.unfenced and state.promotion is None
     if not wanted or state.fence_token:
         return []
-    if now_ms - proofs.proven_ms(state) > PROOF_MAX_AGE_MS:
+    if now_ms - proofs.proven_until_ms(state) > PROOF_MAX_AGE_MS:
         return []
     primary = state.upstreams[state.primary]
     if now_ms - primary.took_sent_ms > PROOF_MAX_AGE_MS:
--- a/topazring/core/synchronous/proofs.py
+++ b/topazring/core/synchronous/proofs.py
@@ -32,41 +32,43 @@
 
 import collections.abc
 
-from topazring.core.synchronous import evidence
+from topazring.core.synchronous import failure_detection
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'DOUBT_MS',
+    'UNPROVEN_AFTER_MS',
     'claims_to_lead',
-    'contests',
-    'in_doubt',
+    'contests_leadership',
+    'is_leadership_unproven',
     'is_superseded',
-    'is_unreached',
-    'leads_newest',
-    'needed_ms',
+    'is_unreachable',
+    'leads_newest_term',
+    'required_proof_ms',
     'needs_proof',
     'note_confirmed',
     'note_refusal',
     'note_report',
-    'proven_ms',
-    'settle',
-    'want',
+    'proven_until_ms',
+    'apply_proof',
+    'request_proof',
 ]
 
 # A new member is known to whoever promotes within milliseconds, and within
 # 1.2 s to one that the platform's store turns away and that asks its peers.
-VOUCH_MS = 2000
+ESTABLISHED_AFTER_MS = 2000
 # A replica that left so much unanswered cannot be reached.
-UNREACHED_MS = 150
+UNREACHABLE_AFTER_MS = 150
 # After so long without a proof none is to be had from here, and callers are
 # better served by another proxy. A lost answer costs 250 ms.
-DOUBT_MS = 300
+UNPROVEN_AFTER_MS = 300
 
 
-def leads_newest(state: states.GroupState, upstream: states.Upstream) -> bool:
+def leads_newest_term(
+    state: states.GroupState, upstream: states.Upstream
+) -> bool:
     """Say whether no term is known that is newer than an upstream's own."""
     return _own_term(upstream) >= state.term
 
@@ -78,13 +80,13 @@
 
 def is_superseded(state: states.GroupState, upstream: states.Upstream) -> bool:
     """Say whether an upstream is known to lead an old term only."""
-    return bool(upstream.lead_term) and not leads_newest(state, upstream)
+    return bool(upstream.lead_term) and not leads_newest_term(state, upstream)
 
 
-def proven_ms(state: states.GroupState) -> int:
+def proven_until_ms(state: states.GroupState) -> int:
     """Return the last moment at which none but the primary led."""
     primary = state.upstreams.get(state.primary)
-    if primary is None or not leads_newest(state, primary):
+    if primary is None or not leads_newest_term(state, primary):
         return states.NEVER_MS
     others = states.others(state)
     if not others:
@@ -129,7 +131,9 @@
     return upstream.took_sent_ms > upstream.refused_sent_ms
 
 
-def contests(state: states.GroupState, upstream: states.Upstream) -> bool:
+def contests_leadership(
+    state: states.GroupState, upstream: states.Upstream
+) -> bool:
     """Say whether another claims to lead since the primary is believed to.
 
     By the list or by taking a transaction, and nothing has refuted it. A
@@ -146,18 +150,23 @@
 def _vouch(state: states.GroupState, proven: int) -> None:
     """Let members vouch for the lead that were there when it was proved."""
     for upstream in state.upstreams.values():
-        if not upstream.vouches and proven - upstream.come_ms >= VOUCH_MS:
+        if (
+            not upstream.vouches
+            and proven - upstream.come_ms >= ESTABLISHED_AFTER_MS
+        ):
             upstream.vouches = True
 
 
-def is_unreached(
+def is_unreachable(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
     """Say whether a member leaves unanswered what it is asked."""
-    return evidence.is_unanswered(state, now_ms, upstream, UNREACHED_MS)
+    return failure_detection.is_unanswered(
+        state, now_ms, upstream, UNREACHABLE_AFTER_MS
+    )
 
 
-def want(state: states.GroupState, at_ms: int) -> None:
+def request_proof(state: states.GroupState, at_ms: int) -> None:
     """Have the lead proved for a moment.
 
     Without a primary there is nothing to prove, and nothing to doubt.
@@ -165,11 +174,11 @@
     if not state.primary:
         return
     state.wanted_ms = max(state.wanted_ms, at_ms)
-    if state.doubted_ms is None and proven_ms(state) < state.wanted_ms:
+    if state.doubted_ms is None and proven_until_ms(state) < state.wanted_ms:
         state.doubted_ms = at_ms
 
 
-def needed_ms(
+def required_proof_ms(
     commands: tuple[statements.Command, ...], request: messages.Request
 ) -> int | None:
     """Return for when the lead has to be proved before a read is answered.
@@ -191,15 +200,15 @@
     return not request.writes or bool(request.transaction)
 
 
-def in_doubt(state: states.GroupState, now_ms: int) -> bool:
+def is_leadership_unproven(state: states.GroupState, now_ms: int) -> bool:
     """Say whether no proof can be had from here."""
     since_ms = state.doubted_ms
-    return since_ms is not None and now_ms - since_ms >= DOUBT_MS
+    return since_ms is not None and now_ms - since_ms >= UNPROVEN_AFTER_MS
 
 
-def settle(state: states.GroupState) -> None:
+def apply_proof(state: states.GroupState) -> None:
     """Use what is proved: places become samples, doubts end."""
-    proven = proven_ms(state)
+    proven = proven_until_ms(state)
     _vouch(state, proven)
     while state.pending and state.pending[0].sent_ms <= proven:
         freshness.add_sample(state, state.pending.popleft())
--- a/topazring/core/synchronous/settling.py
+++ b/topazring/core/synchronous/reply_effects.py
@@ -9,10 +9,10 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['note_confirmed', 'release']
+__all__ = ['note_confirmed', 'release_connection']
 
 
-def release(
+def release_connection(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -14,7 +14,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import settling
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 from topazring.core.synchronous import transactions
@@ -86,24 +86,24 @@
         return []
     told = [reply.place for reply in replies if reply.place is not None]
     last = told[-1] if told else None
-    primary.note_place(state, now_ms, upstream, last)
+    primary.note_log_position(state, now_ms, upstream, last)
     if last is not None:
-        confirmations.note_place(upstream, connection.sent_ms, last)
+        confirmations.note_log_position(upstream, connection.sent_ms, last)
     outs: list = []
     for command, reply in zip(connection.commands, replies, strict=False):
         if not isinstance(command, statements.Begin) or command.read_only:
             continue
         if reply.code is Code.READ_ONLY:
-            outs += primary.note_refuted(state, now_ms, upstream)
+            outs += primary.note_not_leading(state, now_ms, upstream)
             proofs.note_refusal(upstream, connection.sent_ms)
         elif reply.code is None:
-            outs += primary.note_leads(
+            outs += primary.note_begin_accepted(
                 state, now_ms, upstream, connection.sent_ms
             )
             if reply.place is not None and upstream.name == state.primary:
                 sample = log_positions.Sample(connection.sent_ms, reply.place)
                 state.pending.append(sample)
-    proofs.settle(state)
+    proofs.apply_proof(state)
     return outs
 
 
@@ -115,7 +115,9 @@
     connection: states.Connection,
     message: messages.Replied,
 ) -> list:
-    return settling.release(state, now_ms, connection, message.replies[-1])
+    return reply_effects.release_connection(
+        state, now_ms, connection, message.replies[-1]
+    )
 
 
 @_handles(states.Errand.LOOK)
@@ -126,14 +128,14 @@
     message: messages.Replied,
 ) -> list:
     reply = message.replies[-1]
-    outs = settling.release(state, now_ms, connection, reply)
+    outs = reply_effects.release_connection(state, now_ms, connection, reply)
     upstream = state.upstreams.get(connection.upstream)
     if upstream is None or reply.report is None:
         return outs
     outs += primary.note_report(
         state, now_ms, upstream, connection.sent_ms, reply.report
     )
-    proofs.settle(state)
+    proofs.apply_proof(state)
     return outs
 
 
@@ -155,7 +157,9 @@
         connections.mark_idle(connection, now_ms)
         outs = dispatch.roll_back(state, now_ms, connection)
     elif refusal is not None:
-        outs = settling.release(state, now_ms, connection, last)
+        outs = reply_effects.release_connection(
+            state, now_ms, connection, last
+        )
     else:
         return transactions.first_statement(state, now_ms, connection, work)
     if work is None:
@@ -178,7 +182,7 @@
     refusal = exchanges.first_refusal(commands, message.replies)
     if connection.transaction:
         return transactions.ran(state, now_ms, connection, work, last)
-    outs = settling.release(state, now_ms, connection, last)
+    outs = reply_effects.release_connection(state, now_ms, connection, last)
     if work is None:
         state.counters['late_result'] += 1
         return outs
@@ -231,7 +235,7 @@
     at_primary = connection.upstream == state.primary
     where = 'primary' if at_primary else 'replica'
     state.counters[f'read_{request.policy.freshness}_at_{where}'] += 1
-    needs_ms = proofs.needed_ms(commands, request)
+    needs_ms = proofs.required_proof_ms(commands, request)
     return completion.answer_success(state, work, connection, reply, needs_ms)
 
 
@@ -256,7 +260,7 @@
     if reply.code is Code.READ_ONLY:
         outs = []
         if upstream is not None:
-            outs = primary.note_refuted(state, now_ms, upstream)
+            outs = primary.note_not_leading(state, now_ms, upstream)
         return outs + completion.requeue(
             state, now_ms, work, Reason.REPLACED, READ_ONLY_PAUSE_MS
         )
--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -18,8 +18,8 @@
 from topazring.core.synchronous import promotion
 from topazring.core.synchronous import promotion_lease
 from topazring.core.synchronous import proofs
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import sessions
-from topazring.core.synchronous import settling
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
 from topazring.core.synchronous.tests import world as worlds
@@ -73,7 +73,7 @@
 @_ablation
 def _answer_without_proof():
     """Answer a read at the primary though another may lead."""
-    return mock.patch.object(proofs, 'needed_ms', lambda *args: None)
+    return mock.patch.object(proofs, 'required_proof_ms', lambda *args: None)
 
 
 @_ablation
@@ -84,7 +84,7 @@
         while state.pending:
             freshness.add_sample(state, state.pending.popleft())
 
-    return mock.patch.object(proofs, 'settle', settle)
+    return mock.patch.object(proofs, 'apply_proof', settle)
 
 
 @_ablation
@@ -99,7 +99,7 @@
     done = completion.answer_success
 
     def careless(state, work, connection, reply, needs_ms=None):
-        if needs_ms is not None and needs_ms <= proofs.proven_ms(state):
+        if needs_ms is not None and needs_ms <= proofs.proven_until_ms(state):
             needs_ms = None
         return done(state, work, connection, reply, needs_ms)
 
@@ -172,7 +172,9 @@
 @_ablation
 def _promote_below_acknowledged():
     """Promote the best of those that are listed, whatever it lacks."""
-    return mock.patch.object(settling, 'note_confirmed', lambda *args: None)
+    return mock.patch.object(
+        reply_effects, 'note_confirmed', lambda *args: None
+    )
 
 
 @_ablation
--- a/topazring/core/synchronous/tests/failing.py
+++ b/topazring/core/synchronous/tests/failover_support.py
@@ -8,7 +8,7 @@
 OrderResult = messages.OrderResult
 
 
-def holder(**more) -> support.Driver:
+def make_lease_holder(**more) -> support.Driver:
     """Return a calm group's core that holds the duty and has fenced."""
     driver = support.Driver().ready(**more)
     driver.post(messages.DutySeen(True, 100))
@@ -16,11 +16,11 @@
         driver.post(
             messages.Ordered(order.upstream, order.token, OrderResult.ACCEPTED)
         )
-    answer_controls(driver)
+    answer_control_commands(driver)
     return driver
 
 
-def answer_controls(driver: support.Driver, **received: Place) -> list:
+def answer_control_commands(driver: support.Driver, **received: Place) -> list:
     """Answer every pause, look and resume."""
     outs = []
     for connection in driver.busy():
@@ -50,7 +50,7 @@
     return outs
 
 
-def told(driver: support.Driver, kind: type) -> set[str]:
+def command_targets(driver: support.Driver, kind: type) -> set[str]:
     """Return the upstreams that were just sent a command of a kind."""
     return {
         connection.upstream
--- a/topazring/core/synchronous/tests/proving.py
+++ b/topazring/core/synchronous/tests/proof_support.py
@@ -14,7 +14,7 @@
     return driver.reply(connection, support.ok('signed'))
 
 
-def answer_questions(
+def answer_leadership_checks(
     driver: support.Driver, upstream: str, first: support.Reply
 ) -> list:
     """Answer the guards at one upstream."""
@@ -26,7 +26,9 @@
     return outs
 
 
-def answer_looks(driver: support.Driver, upstream: str, **report) -> list:
+def answer_status_queries(
+    driver: support.Driver, upstream: str, **report
+) -> list:
     """Answer the questions for an upstream's own word."""
     outs = []
     for connection in driver.busy(upstream):
--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -5,8 +5,8 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import failing
-from topazring.core.synchronous.tests import proving
+from topazring.core.synchronous.tests import failover_support
+from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
@@ -21,9 +21,11 @@
         driver = support.Driver().ready()
         for _ in range(20):
             driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
-            proving.answer_questions(driver, 'u2', support.ok())
-            proving.answer_questions(driver, 'u3', proving.REFUSED)
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(driver, 'u2', support.ok())
+            proof_support.answer_leadership_checks(
+                driver, 'u3', proof_support.REFUSED
+            )
         return driver
 
     def test_first_claim_holds_until_terms_are_known(self):
@@ -47,15 +49,21 @@
     def test_newer_term_leads_and_the_older_is_deposed(self):
         """It would go on for a second, and hang what is written there."""
         driver = self.rivals()
-        proving.answer_looks(driver, 'u1', role=Role.PRIMARY, term=1)
-        proving.answer_looks(driver, 'u2', role=Role.PRIMARY, term=2)
+        proof_support.answer_status_queries(
+            driver, 'u1', role=Role.PRIMARY, term=1
+        )
+        proof_support.answer_status_queries(
+            driver, 'u2', role=Role.PRIMARY, term=2
+        )
         self.assertEqual('u2', driver.state.primary)
         for _ in range(20):
             driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
-            proving.answer_questions(driver, 'u2', support.ok())
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(driver, 'u2', support.ok())
         self.assertEqual('u2', driver.state.primary)
-        self.assertIn('u1', failing.told(driver, statements.Demote))
+        self.assertIn(
+            'u1', failover_support.command_targets(driver, statements.Demote)
+        )
 
     def test_replaced_primary_that_states_the_new_term(self):
         """It has heard of its successor, and goes on for a second.
@@ -69,36 +77,46 @@
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT)
-        outs = proving.answer_read(driver, key)
-        outs += proving.answer_questions(
+        outs = proof_support.answer_read(driver, key)
+        outs += proof_support.answer_leadership_checks(
             driver, 'u2', support.ok(place=Place(2, 9))
         )
-        outs += proving.answer_questions(driver, 'u3', proving.REFUSED)
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u3', proof_support.REFUSED
+        )
         for _ in range(10):
-            outs += proving.answer_looks(
+            outs += proof_support.answer_status_queries(
                 driver, 'u1', role=Role.PRIMARY, term=2, held_term=0
             )
-            outs += proving.answer_looks(driver, 'u3', term=2, held_term=0)
+            outs += proof_support.answer_status_queries(
+                driver, 'u3', term=2, held_term=0
+            )
             outs += driver.tick(20)
         self.assertNotIn(key, support.answers(outs))
         newer = {'role': Role.PRIMARY, 'term': 2, 'received': Place(2, 9)}
         for _ in range(3):
-            proving.answer_looks(driver, 'u2', **newer)
+            proof_support.answer_status_queries(driver, 'u2', **newer)
             driver.tick(20)
         for _ in range(20):
             driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
-            proving.answer_questions(
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(
                 driver, 'u2', support.ok(place=Place(2, 9))
             )
         self.assertEqual('u2', driver.state.primary)
-        self.assertIn('u1', failing.told(driver, statements.Demote))
+        self.assertIn(
+            'u1', failover_support.command_targets(driver, statements.Demote)
+        )
 
     def test_list_that_is_late_does_not_bring_it_back(self):
         """Its entry says what it believes, not what is."""
         driver = self.rivals()
-        proving.answer_looks(driver, 'u1', role=Role.PRIMARY, term=1)
-        proving.answer_looks(driver, 'u2', role=Role.PRIMARY, term=2)
+        proof_support.answer_status_queries(
+            driver, 'u1', role=Role.PRIMARY, term=1
+        )
+        proof_support.answer_status_queries(
+            driver, 'u2', role=Role.PRIMARY, term=2
+        )
         driver.list_upstreams(primary='u1', revision=9)
         self.assertEqual('u2', driver.state.primary)
 
@@ -115,7 +133,9 @@
         outs = driver.post(messages.DutySeen(True, 100))
         for _ in range(20):
             outs += driver.tick(20)
-            outs += proving.answer_questions(driver, 'u1', support.ok())
+            outs += proof_support.answer_leadership_checks(
+                driver, 'u1', support.ok()
+            )
         self.assertEqual([], support.orders(outs))
         for _ in range(20):
             outs += driver.tick(20)
@@ -134,7 +154,7 @@
         of it; the old one answers the pause as a primary. Cause: ending the
         attempt because another leads.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.state.term = 2
         for name in ('u1', 'u3'):
             driver.state.upstreams[name].refuted_ms = driver.now_ms
@@ -143,12 +163,14 @@
         driver.list_upstreams(primary='', revision=2, born_ms={'u2': 9})
         for _ in range(5):
             driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
             for connection in driver.busy('u1'):
                 if isinstance(connection.commands[0], statements.Pause):
                     old = support.report(role=Role.PRIMARY, term=1)
                     driver.reply(connection, old)
-        self.assertIn('u1', failing.told(driver, statements.Demote))
+        self.assertIn(
+            'u1', failover_support.command_targets(driver, statements.Demote)
+        )
         self.assertIsNotNone(driver.state.promotion)
 
     def test_it_is_paused_as_well(self):
@@ -163,7 +185,7 @@
         is demoted; 2238 ms u4 is ordered with u1 at 0.0; 2280 ms u1 says that
         it holds 2.1, the write; 2368 ms u4 leads at 0.0.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
         heir = driver.state.promotion.successor
@@ -177,7 +199,9 @@
         outs = driver.reply(demoted, support.report(term=1, held_term=0))
         outs += driver.tick(20)
         self.assertEqual([], support.orders(outs))
-        self.assertIn(other, failing.told(driver, statements.Pause))
+        self.assertIn(
+            other, failover_support.command_targets(driver, statements.Pause)
+        )
 
     def controlled(
         self, driver: support.Driver, name: str
--- a/topazring/core/synchronous/tests/test_confirmations.py
+++ b/topazring/core/synchronous/tests/test_confirmations.py
@@ -7,7 +7,7 @@
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
-from topazring.core.synchronous.tests import proving
+from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
@@ -34,9 +34,9 @@
         `u1` leads here, and `u4` answers.
         """
         driver = support.Driver().ready(names=FOUR)
-        test_isolation.play(driver, 460, 'u1', 'u4')
+        test_isolation.run_for(driver, 460, 'u1', 'u4')
         self.key, _ = driver.submit(verb=WRITE)
-        test_isolation.play(driver, 180, 'u1', 'u4', **said)
+        test_isolation.run_for(driver, 180, 'u1', 'u4', **said)
         confirm(driver, self.key)
         return driver
 
@@ -60,7 +60,7 @@
         without the save.
         """
         driver = self.confirmed(held_term=2)
-        test_isolation.play(driver, 400, 'u1', 'u4', held_term=2)
+        test_isolation.run_for(driver, 400, 'u1', 'u4', held_term=2)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_write_that_a_paused_member_holds(self):
@@ -70,22 +70,22 @@
         """
         driver = self.confirmed(held_term=2)
         said = {'held_term': 2, 'received': WITH}
-        test_isolation.play(driver, 400, 'u1', 'u4', **said)
+        test_isolation.run_for(driver, 400, 'u1', 'u4', **said)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_member_that_holds_it(self):
         """Whoever promotes pauses that member and hears of the write."""
         driver = self.confirmed()
         self.assertIsNone(self.outcome(driver))
-        test_isolation.play(driver, 40, 'u1', 'u4', received=WITH)
+        test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_member_that_lacks_it_is_asked_again(self):
         """It may receive the write a few ms after the one that confirmed."""
         driver = self.confirmed()
-        test_isolation.play(driver, 40, 'u1', 'u4', received=WITHOUT)
+        test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITHOUT)
         self.assertIsNone(self.outcome(driver))
-        test_isolation.play(driver, 40, 'u1', 'u4', received=WITH)
+        test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_place_that_is_applied_later(self):
@@ -98,11 +98,11 @@
         driver.state.successor_gone = True
         driver.state.over_term = 1
         driver.state.over_ms = driver.now_ms
-        test_isolation.play(driver, 40, 'u1', 'u4', received=WITH)
+        test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsNone(self.outcome(driver))
         member = driver.state.upstreams['u4']
         asked_ms = driver.now_ms
-        confirmations.note_place(member, asked_ms, WITHOUT)
+        confirmations.note_log_position(member, asked_ms, WITHOUT)
         driver.state.over_ms = states.NEVER_MS
         driver.tick(20)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
@@ -114,14 +114,14 @@
         """
         driver = self.confirmed()
         driver.list_upstreams(primary='', names=('u2', 'u3', 'u4'))
-        test_isolation.play(driver, 100, 'u4', received=WITH)
+        test_isolation.run_for(driver, 100, 'u4', received=WITH)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_log_of_a_newer_term_shows_nothing(self):
         """Its places are higher, and the write may not be among them."""
         driver = self.confirmed()
         said = {'received': Place(2, 9), 'term': 2}
-        test_isolation.play(driver, 100, 'u1', 'u4', **said)
+        test_isolation.run_for(driver, 100, 'u1', 'u4', **said)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
     def test_member_that_has_just_come_shows_nothing(self):
@@ -129,13 +129,17 @@
         driver = support.Driver().ready()
         driver.list_upstreams(names=FOUR, revision=2)
         driver.open_all()
-        test_isolation.play(driver, 60, *FOUR)
+        test_isolation.run_for(driver, 60, *FOUR)
         self.key, _ = driver.submit(verb=WRITE)
-        test_isolation.play(driver, 20, 'u1')
+        test_isolation.run_for(driver, 20, 'u1')
         confirm(driver, self.key)
-        proving.answer_looks(driver, 'u4', received=WITH, term=1, held_term=0)
+        proof_support.answer_status_queries(
+            driver, 'u4', received=WITH, term=1, held_term=0
+        )
         self.assertIsNone(self.outcome(driver))
-        proving.answer_looks(driver, 'u3', received=WITH, term=1, held_term=0)
+        proof_support.answer_status_queries(
+            driver, 'u3', received=WITH, term=1, held_term=0
+        )
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
 
@@ -151,7 +155,7 @@
         outs = confirm(driver, key)
         self.assertNotIn(key, support.answers(outs))
         said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proving.answer_looks(driver, 'u2', **said)
+        outs = proof_support.answer_status_queries(driver, 'u2', **said)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
     def test_members_are_asked_as_the_write_is_confirmed(self):
@@ -183,7 +187,7 @@
         ]
         self.assertEqual(2, len(asked))
         said = {'received': WITH, 'term': 1, 'held_term': 0}
-        proving.answer_looks(driver, 'u2', **said)
+        proof_support.answer_status_queries(driver, 'u2', **said)
         answered = support.answers(driver.outs)
         self.assertIsInstance(answered[first], outcomes.Done)
         self.assertNotIn(second, answered)
@@ -202,10 +206,10 @@
         driver = support.Driver().ready()
         driver.tick(20)
         key, _ = driver.submit(verb=WRITE)
-        test_isolation.play(driver, 20, 'u1', 'u2')
+        test_isolation.run_for(driver, 20, 'u1', 'u2')
         outs = confirm(driver, key)
         self.assertNotIn(key, support.answers(outs))
-        outs = proving.answer_looks(
+        outs = proof_support.answer_status_queries(
             driver, 'u2', received=WITH, term=1, held_term=0
         )
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
@@ -229,7 +233,7 @@
         outs = driver.reply(connection, support.ok('signed', place=WITH))
         self.assertNotIn(commit, support.answers(outs))
         said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proving.answer_looks(driver, 'u3', **said)
+        outs = proof_support.answer_status_queries(driver, 'u3', **said)
         self.assertIsInstance(support.answers(outs)[commit], outcomes.Done)
 
 
@@ -240,15 +244,15 @@
         """The heir is the only one that can confirm, and it will lead."""
         driver = support.Driver().ready(names=FOUR)
         driver.list_upstreams(names=FOUR, leaving='u1')
-        test_isolation.play(driver, 40, 'u1', 'u2', 'u3')
+        test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3')
         key, _ = driver.submit(verb=WRITE)
-        test_isolation.play(driver, 20, 'u1', 'u2', 'u3')
+        test_isolation.run_for(driver, 20, 'u1', 'u2', 'u3')
         confirm(driver, key)
         for name in ('u3', 'u4'):
-            proving.answer_looks(
+            proof_support.answer_status_queries(
                 driver, name, received=WITHOUT, term=1, held_term=2
             )
-        outs = proving.answer_looks(
+        outs = proof_support.answer_status_queries(
             driver, 'u2', received=WITH, term=1, held_term=0
         )
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
@@ -263,7 +267,7 @@
         driver.tick(20)
         first, _ = driver.submit(verb=WRITE)
         confirm(driver, first)
-        test_isolation.play(driver, 640, 'u3', 'u4', received=WITHOUT)
+        test_isolation.run_for(driver, 640, 'u3', 'u4', received=WITHOUT)
         self.assertNotIn(first, support.answers(driver.outs))
         second, outs = driver.submit(verb=WRITE)
         self.assertNotIn(second, support.answers(outs))
@@ -274,7 +278,7 @@
         What would be wrong: half a second without saves after a failover.
         """
         driver = support.Driver().ready(names=FOUR)
-        test_isolation.play(driver, 460, 'u1', 'u4')
+        test_isolation.run_for(driver, 460, 'u1', 'u4')
         first, _ = driver.submit(verb=WRITE)
         confirm(driver, first)
         driver.state.upstreams['u1'].refuted_ms = driver.now_ms
@@ -289,11 +293,11 @@
     def test_refused_before_it_runs(self):
         """Its caller reaches the other side through another proxy."""
         driver = support.Driver().ready(names=FOUR)
-        test_isolation.play(driver, 460, 'u1', 'u4')
+        test_isolation.run_for(driver, 460, 'u1', 'u4')
         first, _ = driver.submit(verb=WRITE)
-        test_isolation.play(driver, 20, 'u1', 'u4')
+        test_isolation.run_for(driver, 20, 'u1', 'u4')
         confirm(driver, first)
-        test_isolation.play(driver, 400, 'u1', 'u4', held_term=2)
+        test_isolation.run_for(driver, 400, 'u1', 'u4', held_term=2)
         second, outs = driver.submit(verb=WRITE)
         self.assertIsInstance(support.answers(outs)[second], outcomes.NotRun)
         self.assertNotIn(messages.Order, [type(out) for out in driver.outs])
--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -4,8 +4,8 @@
 
 from topazring.core import outcomes
 from topazring.core.synchronous import messages
-from topazring.core.synchronous.tests import failing
-from topazring.core.synchronous.tests import proving
+from topazring.core.synchronous.tests import failover_support
+from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
@@ -20,7 +20,7 @@
     work = driver.state.work.get(key)
     if work is not None and work.running:
         driver.reply(driver.running(key), support.ok('signed', place=held))
-    test_isolation.play(driver, 100, 'u1', *names, received=held)
+    test_isolation.run_for(driver, 100, 'u1', *names, received=held)
     return support.answers(driver.outs).get(key)
 
 
@@ -29,7 +29,11 @@
 
     def contested(self, holds_duty: bool = False) -> support.Driver:
         """Have the list name `u2`, while `u1` goes on."""
-        driver = failing.holder() if holds_duty else support.Driver().ready()
+        driver = (
+            failover_support.make_lease_holder()
+            if holds_duty
+            else support.Driver().ready()
+        )
         driver.list_upstreams(primary='u2', revision=2)
         return driver
 
@@ -81,7 +85,7 @@
         for _ in range(10):
             outs += driver.tick(20)
             outs += driver.answer_guards()
-            outs += failing.answer_controls(driver)
+            outs += failover_support.answer_control_commands(driver)
         begun = support.decided(outs, 'promotion begins')
         whys = [inputs['why'] for inputs in begun]
         self.assertEqual(['its successor is gone'], whys)
@@ -112,8 +116,8 @@
         held = Place(1, 6)
         driver.reply(connection, support.ok('signed', place=held))
         newer = {'received': Place(2, 1), 'term': 2}
-        test_isolation.play(driver, 40, 'u3', **newer)
-        test_isolation.play(driver, 100, 'u2', 'u4', received=held)
+        test_isolation.run_for(driver, 40, 'u3', **newer)
+        test_isolation.run_for(driver, 100, 'u2', 'u4', received=held)
         outcome = support.answers(driver.outs).get(key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
@@ -129,9 +133,11 @@
 
         What would be wrong: no save for the seconds until its entry lapses.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        (order,) = support.orders(failing.answer_controls(driver))
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        (order,) = support.orders(
+            failover_support.answer_control_commands(driver)
+        )
         accepted = messages.OrderResult.ACCEPTED
         driver.post(messages.Ordered(order.upstream, order.token, accepted))
         driver.list_upstreams(primary='u2', revision=2)
@@ -139,12 +145,12 @@
         driver.answer_guards(primary='u2')
         key, _ = driver.submit(verb=WRITE)
         said = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
-        proving.answer_looks(driver, 'u3', **said)
+        proof_support.answer_status_queries(driver, 'u3', **said)
         connection = driver.running(key)
         place = Place(2, 6)
         driver.reply(connection, support.ok('signed', place=place))
         for _ in range(5):
             driver.tick(20)
-            proving.answer_looks(driver, 'u3', **said)
+            proof_support.answer_status_queries(driver, 'u3', **said)
         outcome = support.answers(driver.outs).get(key)
         self.assertIsInstance(outcome, outcomes.Done)
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -5,7 +5,7 @@
 from topazring.core.synchronous import departures
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
-from topazring.core.synchronous.tests import failing
+from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
@@ -134,22 +134,22 @@
         confirms a save and ends; the primary is lost. Cause: choosing among
         those that are left without asking what the departed one had.
         """
-        driver = failing.holder(leaving='u3')
+        driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
-        outs = failing.lose_primary(driver)
-        outs += failing.answer_controls(driver)
+        outs = failover_support.lose_primary(driver)
+        outs += failover_support.answer_control_commands(driver)
         outs += driver.tick(300)
-        outs += failing.answer_controls(driver)
+        outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
 
     def test_primary_that_spoke_since_bounds_what_may_be_missing(self):
         """A guard after the departure says how far the log went by then."""
-        driver = failing.holder(leaving='u3')
+        driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
         driver.tick(120)
         driver.answer_guards()
-        outs = failing.lose_primary(driver)
-        outs += failing.answer_controls(driver)
+        outs = failover_support.lose_primary(driver)
+        outs += failover_support.answer_control_commands(driver)
         (order,) = support.orders(outs)
         self.assertEqual('u2', order.upstream)
 
@@ -162,7 +162,7 @@
         replica without it is promoted. Cause: taking what the remaining
         replicas lack for something that nobody confirmed.
         """
-        driver = failing.holder(leaving='u3')
+        driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
         ahead = support.ok(place=Place(1, 9))
         for _ in range(50):
@@ -175,7 +175,9 @@
                 break
         outs: list = []
         for _ in range(2):
-            outs += failing.answer_controls(driver, u1=Place(1, 9))
+            outs += failover_support.answer_control_commands(
+                driver, u1=Place(1, 9)
+            )
         orders = [o for o in outs if isinstance(o, messages.Order)]
         self.assertEqual([], [o for o in orders if o.upstream != 'u1'])
 
@@ -195,12 +197,14 @@
         again, empty; the primary is lost. Cause: asking the one that began
         again for what the one before it had.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         self.born_again(driver, 'u3')
         driver.open_all(Place(0, 0))
-        outs = failing.lose_primary(driver)
+        outs = failover_support.lose_primary(driver)
         for _ in range(4):
-            outs += failing.answer_controls(driver, u3=Place(0, 0))
+            outs += failover_support.answer_control_commands(
+                driver, u3=Place(0, 0)
+            )
             outs += driver.tick(60)
         self.assertEqual([], support.orders(outs))
 
@@ -228,13 +232,13 @@
         crashes and is back within a moment, empty. Cause: waiting for the
         silence of one that answers.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
         driver.open_all(Place(0, 0))
         outs = driver.tick(20)
-        outs += failing.answer_controls(driver)
+        outs += failover_support.answer_control_commands(driver)
         outs += driver.tick(40)
-        outs += failing.answer_controls(driver)
+        outs += failover_support.answer_control_commands(driver)
         (order,) = support.orders(outs)
         self.assertIn(order.upstream, ('u2', 'u3'))
 
@@ -295,7 +299,7 @@
 
     def begun_again_as_a_replica(self) -> support.Driver:
         """Have the primary begin again, and follow another for a while."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
         driver.open_all(Place(0, 0))
         driver.tick(20)
@@ -314,7 +318,9 @@
         driver.state.acknowledged = Place(1, 6)
         outs = []
         for _ in range(5):
-            outs += failing.answer_controls(driver, u1=Place(1, 6))
+            outs += failover_support.answer_control_commands(
+                driver, u1=Place(1, 6)
+            )
             outs += driver.tick(20)
         (order,) = support.orders(outs)
         self.assertEqual('u1', order.upstream)
@@ -345,7 +351,9 @@
         driver.state.departures.add(driver.now_ms, 'u4')
         outs = []
         for _ in range(5):
-            outs += failing.answer_controls(driver, u1=Place(0, 0))
+            outs += failover_support.answer_control_commands(
+                driver, u1=Place(0, 0)
+            )
             outs += driver.tick(20)
         self.assertEqual([], support.orders(outs))
 
--- a/topazring/core/synchronous/tests/test_evidence.py
+++ b/topazring/core/synchronous/tests/test_failure_detection.py
@@ -6,7 +6,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import failing
+from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
@@ -22,7 +22,7 @@
         between the ends forgets one connection; it is silent for good.
         Cause: silence on one connection taken for the upstream's.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         silent = next(
             c for c in driver.state.connections.values() if c.upstream == 'u1'
         )
@@ -40,7 +40,7 @@
 
     def test_own_pause_is_not_silence(self):
         """All probes of a process that stood still are overdue."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.tick(120)
         driver.now_ms += 900
         driver.post(messages.Tick(880))
@@ -65,7 +65,7 @@
 
     def standing(self, received: Place) -> support.Driver:
         """Have a primary go on to 1.9 while replicas are seen at 1.5."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         for _ in range(50):
             driver.tick(20)
             for connection in driver.busy('u1'):
@@ -75,7 +75,7 @@
             driver.answer_guards(primary='')
             if driver.state.promotion is not None:
                 break
-        failing.answer_controls(
+        failover_support.answer_control_commands(
             driver, u1=Place(1, 9), u2=received, u3=received
         )
         driver.answer_guards(primary='')
@@ -91,12 +91,16 @@
         takes is confirmed. Cause: taking an answer for a sign of health.
         """
         driver = self.standing(Place(1, 5))
-        self.assertEqual({'u1'}, failing.told(driver, statements.Demote))
+        self.assertEqual(
+            {'u1'}, failover_support.command_targets(driver, statements.Demote)
+        )
 
     def test_replicas_that_apply_late(self):
         """They received everything, so nothing is wrong with the primary."""
         driver = self.standing(Place(1, 9))
-        self.assertEqual(set(), failing.told(driver, statements.Demote))
+        self.assertEqual(
+            set(), failover_support.command_targets(driver, statements.Demote)
+        )
         self.assertIsNone(driver.state.promotion)
 
     def test_unconfirmed_tail_does_not_count(self):
@@ -108,7 +112,7 @@
         that it replaces.
         """
         driver = self.standing(Place(1, 5))
-        outs = failing.answer_controls(
+        outs = failover_support.answer_control_commands(
             driver, u1=Place(1, 9), u2=Place(1, 5), u3=Place(1, 5)
         )
         (order,) = support.orders(outs)
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -6,7 +6,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import failing
+from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
@@ -19,7 +19,7 @@
 
     def leaving(self) -> support.Driver:
         """Return a holder whose primary has just reported that it leaves."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
         return driver
@@ -29,7 +29,8 @@
         driver = self.leaving()
         heir = driver.state.promotion.successor
         self.assertEqual(
-            {'u2', 'u3'} - {heir}, failing.told(driver, statements.Pause)
+            {'u2', 'u3'} - {heir},
+            failover_support.command_targets(driver, statements.Pause),
         )
 
     def test_newcomer_is_paused_until_the_successor_leads(self):
@@ -41,14 +42,18 @@
         Cause: pausing only those that were there when the order went out.
         """
         driver = self.leaving()
-        (order,) = support.orders(failing.answer_controls(driver))
+        (order,) = support.orders(
+            failover_support.answer_control_commands(driver)
+        )
         accepted = OrderResult.ACCEPTED
         driver.post(messages.Ordered(order.upstream, order.token, accepted))
         names = ('u1', 'u2', 'u3', 'u4')
         driver.list_upstreams(names=names, leaving='u1')
         driver.open_all()
         driver.tick(40)
-        self.assertIn('u4', failing.told(driver, statements.Pause))
+        self.assertIn(
+            'u4', failover_support.command_targets(driver, statements.Pause)
+        )
 
     def test_newcomer_is_paused_the_moment_it_is_reached(self):
         """Each millisecond that it is not paused may lose a write.
@@ -59,7 +64,7 @@
         at the next tick, or the one after.
         """
         driver = self.leaving()
-        failing.answer_controls(driver)
+        failover_support.answer_control_commands(driver)
         names = ('u1', 'u2', 'u3', 'u4')
         outs = driver.list_upstreams(names=names, leaving='u1')
         dials = [
@@ -68,7 +73,9 @@
             if isinstance(out, messages.Open) and out.upstream == 'u4'
         ]
         driver.post(messages.Opened(dials[0], Place(1, 5)))
-        self.assertIn('u4', failing.told(driver, statements.Pause))
+        self.assertIn(
+            'u4', failover_support.command_targets(driver, statements.Pause)
+        )
 
     def test_closed_member_is_asked_on_the_dial_that_was_for_it(self):
         """A member that leaves is asked although it gets no more work.
@@ -81,7 +88,7 @@
         over. Cause: taking a dial for a question, and closing a connection
         that is needed.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u3', revision=2)
         driver.tick(20)
         paused = set()
@@ -93,7 +100,9 @@
                     opened = messages.Opened(connection.number, Place(1, 5))
                     driver.post(opened)
             driver.tick(20)
-            paused |= failing.told(driver, statements.Pause)
+            paused |= failover_support.command_targets(
+                driver, statements.Pause
+            )
             driver.answer_guards(primary='')
         self.assertIn('u3', paused)
 
@@ -102,12 +111,12 @@
         driver = self.leaving()
         heir = driver.state.promotion.successor
         other = ({'u2', 'u3'} - {heir}).pop()
-        outs = failing.answer_controls(
+        outs = failover_support.answer_control_commands(
             driver, **{heir: Place(1, 7), other: Place(1, 8)}
         )
         self.assertEqual([], support.orders(outs))
         driver.tick(40)
-        outs = failing.answer_controls(
+        outs = failover_support.answer_control_commands(
             driver, **{heir: Place(1, 8), other: Place(1, 8)}
         )
         (order,) = support.orders(outs)
@@ -123,9 +132,9 @@
         Proof, from the log: 32.735 s the hand-over begins, the heir is the
         one that was lost at 32.400 s; 38.030 s another is ordered.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.state.upstreams['u3'].place = Place(1, 9)
-        test_isolation.play(driver, 400, 'u1', 'u2')
+        test_isolation.run_for(driver, 400, 'u1', 'u2')
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
         self.assertEqual('u2', driver.state.promotion.successor)
@@ -165,25 +174,25 @@
         """
         driver = self.leaving()
         driver.state.start = known_places.Start('u1', Place(1, 7))
-        outs = failing.answer_controls(driver)
+        outs = failover_support.answer_control_commands(driver)
         driver.answer_guards()
         driver.tick(40)
-        outs += failing.answer_controls(driver)
+        outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
         places = {'u2': Place(1, 7), 'u3': Place(1, 7)}
         for _ in range(10):
             outs += driver.tick(20)
             driver.answer_guards()
-            outs += failing.answer_controls(driver, **places)
+            outs += failover_support.answer_control_commands(driver, **places)
         self.assertEqual(1, len(support.orders(outs)))
 
     def test_heir_holds_what_is_acknowledged(self):
         """As above, where this proxy acknowledged it itself."""
         driver = self.leaving()
         driver.state.acknowledged = Place(1, 7)
-        outs = failing.answer_controls(driver)
+        outs = failover_support.answer_control_commands(driver)
         driver.tick(40)
-        outs += failing.answer_controls(driver)
+        outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
 
     def blocked(self) -> support.Driver:
@@ -249,7 +258,7 @@
         for the promotion; a read that hangs at the lost one is tried there.
         Cause: only new work looked at who is closed to it.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.list_upstreams(leaving='u2', revision=2)
         driver.submit()
         for _ in range(25):
@@ -260,7 +269,9 @@
                 if opening and connection.upstream != 'u1':
                     opened = messages.Opened(connection.number, Place(1, 9))
                     driver.post(opened)
-            said = failing.answer_controls(driver, u2=Place(1, 9))
+            said = failover_support.answer_control_commands(
+                driver, u2=Place(1, 9)
+            )
             for order in support.orders(said):
                 driver.post(
                     messages.Ordered(
--- a/topazring/core/synchronous/tests/test_isolation.py
+++ b/topazring/core/synchronous/tests/test_isolation.py
@@ -11,7 +11,7 @@
 WRITE = support.Verb.WRITE
 
 
-def answer_guards_of(driver: support.Driver, *names: str, **said) -> None:
+def answer_queries_of(driver: support.Driver, *names: str, **said) -> None:
     """Answer guards, and what is asked as writes go out; `u1` leads."""
     for connection in driver.busy():
         if connection.upstream not in names:
@@ -27,12 +27,12 @@
         driver.reply(connection, first, support.ok())
 
 
-def play(driver: support.Driver, for_ms: int, *names: str, **said) -> list:
+def run_for(driver: support.Driver, for_ms: int, *names: str, **said) -> list:
     """Let time pass while only these upstreams answer, and say this."""
     outs = []
     for _ in range(for_ms // 20):
         outs += driver.tick(20)
-        answer_guards_of(driver, *names, **said)
+        answer_queries_of(driver, *names, **said)
     return outs
 
 
@@ -43,7 +43,7 @@
         """Have a write hang while no replica can be reached."""
         driver = support.Driver().ready()
         self.key, _ = driver.submit(verb=WRITE)
-        self.outs = play(driver, 400, 'u1')
+        self.outs = run_for(driver, 400, 'u1')
         return driver
 
     def test_hanging_write_is_given_up(self):
@@ -71,21 +71,21 @@
         """It may be this proxy alone that does not reach them."""
         driver = support.Driver().ready()
         driver.submit(support.OWN)
-        play(driver, 600, 'u1')
+        run_for(driver, 600, 'u1')
         self.assertEqual('', driver.state.isolated_with)
 
     def test_hanging_write_alone_says_nothing(self):
         """Its answer may be lost; the replicas can be reached."""
         driver = support.Driver().ready()
         key, _ = driver.submit(verb=WRITE)
-        outs = play(driver, 500, 'u1', 'u2', 'u3')
+        outs = run_for(driver, 500, 'u1', 'u2', 'u3')
         self.assertEqual('', driver.state.isolated_with)
         self.assertNotIn(key, support.answers(outs))
 
     def test_ends_when_a_replica_is_heard(self):
         """The partition has healed."""
         driver = self.isolated()
-        play(driver, 100, 'u1', 'u2')
+        run_for(driver, 100, 'u1', 'u2')
         self.assertEqual('', driver.state.isolated_with)
         key, outs = driver.submit(verb=WRITE)
         self.assertNotIn(key, support.answers(outs))
@@ -104,9 +104,9 @@
         and confirmed at 32.62 s, the replica is listed at 32.65 s.
         """
         driver = support.Driver().ready()
-        play(driver, 460, 'u1')
+        run_for(driver, 460, 'u1')
         key, _ = driver.submit(verb=WRITE)
-        play(driver, 80, 'u1')
+        run_for(driver, 80, 'u1')
         outs = []
         for connection in driver.busy('u1'):
             if connection.work == key:
@@ -117,7 +117,7 @@
     def confirmed_alone(self) -> support.Driver:
         """Have a write confirmed while no replica can be reached."""
         driver = support.Driver().ready()
-        play(driver, 460, 'u1')
+        run_for(driver, 460, 'u1')
         self.key, _ = driver.submit(verb=WRITE)
         (connection,) = [c for c in driver.busy('u1') if c.work]
         driver.reply(connection, support.ok('signed'))
@@ -128,7 +128,7 @@
         """It was this proxy alone that did not reach them."""
         driver = self.confirmed_alone()
         self.assertNotIn(self.key, support.answers(driver.outs))
-        play(driver, 100, 'u1', 'u2', 'u3')
+        run_for(driver, 100, 'u1', 'u2', 'u3')
         outcome = support.answers(driver.outs)[self.key]
         self.assertIsInstance(outcome, outcomes.Done)
 
@@ -139,7 +139,7 @@
         run, so that its caller saves it twice.
         """
         driver = self.confirmed_alone()
-        play(driver, 900, 'u1')
+        run_for(driver, 900, 'u1')
         outcome = support.answers(driver.outs)[self.key]
         self.assertIsInstance(outcome, outcomes.Unknown)
         sent = [
@@ -162,7 +162,7 @@
         """Neither what is acknowledged, nor how old replicas are."""
         driver = support.Driver().ready()
         acknowledged = driver.state.acknowledged
-        play(driver, 460, 'u1')
+        run_for(driver, 460, 'u1')
         driver.submit(verb=WRITE)
         (connection,) = [c for c in driver.busy('u1') if c.work]
         driver.reply(
@@ -183,5 +183,5 @@
         driver.list_upstreams(
             primary='', names=('u1', 'u2', 'u3', 'u4'), revision=2
         )
-        play(driver, 600, 'u4')
+        run_for(driver, 600, 'u4')
         self.assertEqual(0, driver.state.counters['isolated'])
--- a/topazring/core/synchronous/tests/test_lost_answers.py
+++ b/topazring/core/synchronous/tests/test_lost_answers.py
@@ -10,7 +10,7 @@
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import expiry
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import prospects
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous.tests import support
 
@@ -87,7 +87,7 @@
         (silent,) = [c for c in driver.busy('u1') if c.work]
         self.play(driver, expiry.SILENT_MS - 100)
         driver.close(silent, outcomes.Reason.SILENT)
-        lost = prospects.lost_since(driver.state, driver.now_ms)
+        lost = primary_availability.lost_since(driver.state, driver.now_ms)
         self.assertIsNone(lost)
 
     def test_connection_that_nobody_waits_for_is_freed(self):
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -4,8 +4,8 @@
 
 from topazring.core import outcomes
 from topazring.core.synchronous import messages
-from topazring.core.synchronous.tests import failing
-from topazring.core.synchronous.tests import proving
+from topazring.core.synchronous.tests import failover_support
+from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_confirmations
 from topazring.core.synchronous.tests import test_isolation
@@ -29,8 +29,8 @@
     for _ in range(for_ms // 20):
         driver.tick(20)
         for name, said in words.items():
-            proving.answer_looks(driver, name, **said)
-        test_isolation.answer_guards_of(driver, 'u1')
+            proof_support.answer_status_queries(driver, name, **said)
+        test_isolation.answer_queries_of(driver, 'u1')
 
 
 class NewcomerTest(testtools.TestCase):
@@ -49,27 +49,27 @@
 
     def test_write_under_way_as_members_are_paused(self):
         """Guards against acknowledging on an answer older than the pause."""
-        test_isolation.play(self.driver, 20, 'u1', 'u2', 'u3')
+        test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
         self.assertIsNone(self.outcome())
         said = {'held_term': 2, 'received': WITHOUT}
-        test_isolation.play(self.driver, 300, 'u1', 'u2', 'u3', **said)
+        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **said)
         self.assertNotIsInstance(self.outcome(), outcomes.Done)
 
     def test_members_that_receive_nothing(self):
         """Guards against a loss of what only an unlisted replica holds."""
-        test_isolation.play(self.driver, 20, 'u1', 'u2', 'u3')
+        test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
         said = {'received': WITHOUT}
-        test_isolation.play(self.driver, 300, 'u1', 'u2', 'u3', **said)
+        test_isolation.run_for(self.driver, 300, 'u1', 'u2', 'u3', **said)
         self.assertNotIsInstance(self.outcome(), outcomes.Done)
 
     def test_asked_the_moment_it_is_confirmed(self):
         """Guards against callers who wait for a tick after each save."""
-        test_isolation.play(self.driver, 20, 'u1', 'u2', 'u3')
+        test_isolation.run_for(self.driver, 20, 'u1', 'u2', 'u3')
         test_confirmations.confirm(self.driver, self.key)
         said = {'received': WITH, 'term': 1, 'held_term': 0}
-        proving.answer_looks(self.driver, 'u2', **said)
+        proof_support.answer_status_queries(self.driver, 'u2', **said)
         self.assertIsInstance(self.outcome(), outcomes.Done)
 
 
@@ -81,7 +81,9 @@
         driver = support.Driver().ready()
         self.key, _ = driver.submit(verb=support.Verb.WRITE)
         for name in ('u2', 'u3'):
-            proving.answer_looks(driver, name, term=1, held_term=0)
+            proof_support.answer_status_queries(
+                driver, name, term=1, held_term=0
+            )
         driver.now_ms = driver.state.work[self.key].deadline_ms - 1
         test_confirmations.confirm(driver, self.key)
         return driver
@@ -91,7 +93,7 @@
         driver = self.confirmed()
         driver.tick(5)
         said = {'received': WITH, 'term': 1, 'held_term': 0}
-        outs = proving.answer_looks(driver, 'u2', **said)
+        outs = proof_support.answer_status_queries(driver, 'u2', **said)
         self.assertIsInstance(support.answers(outs)[self.key], outcomes.Done)
 
     def test_word_that_does_not_come(self):
@@ -109,7 +111,7 @@
         """Return the answer where the heir's log ends there as it leads."""
         driver = support.Driver().ready()
         driver.list_upstreams(leaving='u1')
-        test_isolation.play(driver, 40, 'u1', 'u2', 'u3')
+        test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3')
         key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, key)
         driver.state.upstreams['u1'].refuted_ms = driver.now_ms
@@ -119,7 +121,9 @@
         for _ in range(5):
             driver.tick(20)
             said = {'role': support.Role.PRIMARY, 'term': 2, 'held_term': 0}
-            proving.answer_looks(driver, 'u2', received=place, **said)
+            proof_support.answer_status_queries(
+                driver, 'u2', received=place, **said
+            )
         return support.answers(driver.outs).get(key)
 
     def test_heir_that_began_with_it(self):
@@ -152,7 +156,7 @@
         driver.list_upstreams(leaving='u1')
         driver.list_upstreams(names=FOUR, leaving='u1')
         driver.open_all()
-        test_isolation.play(driver, 400, *FOUR)
+        test_isolation.run_for(driver, 400, *FOUR)
         self.key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, self.key)
         play_words(driver, 300, u2={**PAUSED, **heir}, u3=PAUSED, u4=HOLDER)
@@ -170,10 +174,12 @@
         for _ in range(5):
             driver.tick(20)
             said = {'received': WITHOUT, 'term': 1, 'held_term': 0}
-            proving.answer_looks(driver, 'u2', **said)
+            proof_support.answer_status_queries(driver, 'u2', **said)
             said = {'received': WITH, 'term': 1, 'held_term': 0}
-            proving.answer_looks(driver, 'u3', **said)
-            proving.answer_looks(driver, 'u4', received=WITHOUT, term=1)
+            proof_support.answer_status_queries(driver, 'u3', **said)
+            proof_support.answer_status_queries(
+                driver, 'u4', received=WITHOUT, term=1
+            )
         outcome = support.answers(driver.outs).get(self.key)
         self.assertNotIsInstance(outcome, outcomes.Done)
 
@@ -183,7 +189,7 @@
         driver.list_upstreams(leaving='u1')
         driver.list_upstreams(names=FOUR, leaving='u1')
         driver.open_all()
-        test_isolation.play(driver, 400, 'u1', 'u3', 'u4')
+        test_isolation.run_for(driver, 400, 'u1', 'u3', 'u4')
         key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, key)
         play_words(driver, 600, u3=PAUSED, u4=HOLDER)
@@ -193,10 +199,10 @@
     def test_newcomer_while_all_others_are_paused(self):
         """Guards against taking a lost primary that leaves for a hand-over."""
         driver = support.Driver().ready()
-        test_isolation.play(driver, 40, 'u1', 'u2', 'u3', held_term=2)
+        test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3', held_term=2)
         driver.list_upstreams(names=FOUR, leaving='u1')
         driver.open_all()
-        test_isolation.play(driver, 40, 'u1', 'u2', 'u3', held_term=2)
+        test_isolation.run_for(driver, 40, 'u1', 'u2', 'u3', held_term=2)
         key, _ = driver.submit(verb=support.Verb.WRITE)
         test_confirmations.confirm(driver, key)
         play_words(driver, 300, u2=PAUSED, u3=PAUSED, u4=HOLDER)
@@ -221,9 +227,9 @@
 
     def lost(self) -> support.Driver:
         """Lose the primary; the list is read when the test says so."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.reads_list = False
-        failing.lose_primary(driver)
+        failover_support.lose_primary(driver)
         return driver
 
     def token(self, driver: support.Driver) -> int:
@@ -233,7 +239,7 @@
     def test_nobody_is_ordered_before_the_list_is_read(self):
         """Guards against a choice among those that were known before."""
         driver = self.lost()
-        outs = failing.answer_controls(driver)
+        outs = failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
         outs = driver.post(messages.ListRead(self.token(driver)))
         self.assertEqual(1, len(support.orders(outs)))
@@ -241,25 +247,27 @@
     def test_newcomer_that_alone_holds_a_write_is_chosen(self):
         """Guards against passing over one that others knew for long."""
         driver = self.lost()
-        failing.answer_controls(driver)
+        failover_support.answer_control_commands(driver)
         driver.list_upstreams(primary='', names=FOUR, revision=2)
         driver.open_all()
         outs = driver.post(messages.ListRead(self.token(driver)))
         self.assertEqual([], support.orders(outs))
-        outs = failing.answer_controls(driver, u4=WITH)
+        outs = failover_support.answer_control_commands(driver, u4=WITH)
         (order,) = support.orders(outs)
         self.assertEqual('u4', order.upstream)
 
     def test_successor_that_leads_by_now(self):
         """Guards against a new primary's word for its own write."""
         driver = self.lost()
-        failing.answer_controls(driver)
+        failover_support.answer_control_commands(driver)
         token = self.token(driver)
         (order,) = support.orders(driver.post(messages.ListRead(token)))
         accepted = messages.OrderResult.ACCEPTED
         driver.post(messages.Ordered(order.upstream, token, accepted))
         driver.tick(60)
-        proving.answer_questions(driver, order.upstream, support.ok())
+        proof_support.answer_leadership_checks(
+            driver, order.upstream, support.ok()
+        )
         self.assertEqual(order.upstream, driver.state.primary)
         self.assertIsNotNone(driver.state.promotion)
         key, _ = driver.submit(verb=support.Verb.WRITE)
@@ -272,11 +280,13 @@
     def test_list_that_nobody_could_tell(self):
         """Guards against an order by one that hears of nothing new."""
         driver = self.lost()
-        failing.answer_controls(driver)
+        failover_support.answer_control_commands(driver)
         outs = driver.post(messages.ListRead(self.token(driver), False))
         self.assertEqual([], support.orders(outs))
         for _ in range(60):
-            outs += driver.tick(20) + failing.answer_controls(driver)
+            outs += driver.tick(20) + failover_support.answer_control_commands(
+                driver
+            )
         self.assertEqual([], support.orders(outs))
         yields = [out for out in outs if isinstance(out, messages.YieldDuty)]
         self.assertEqual('the list cannot be read', yields[0].why)
@@ -284,7 +294,7 @@
     def test_order_is_repeated_only_on_a_new_list(self):
         """Guards against ordering one that began again, empty, meanwhile."""
         driver = self.lost()
-        failing.answer_controls(driver)
+        failover_support.answer_control_commands(driver)
         token = self.token(driver)
         (order,) = support.orders(driver.post(messages.ListRead(token)))
         driver.now_ms += 900
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -6,7 +6,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import failing
+from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
@@ -19,9 +19,11 @@
 
     def test_highest_replica_is_promoted(self):
         """Pause all replicas, look, promote the one that received most."""
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        outs = failing.answer_controls(driver, u2=Place(1, 7), u3=Place(1, 9))
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        outs = failover_support.answer_control_commands(
+            driver, u2=Place(1, 7), u3=Place(1, 9)
+        )
         (order,) = support.orders(outs)
         self.assertEqual('u3', order.upstream)
         self.assertGreater(order.token, 100)
@@ -34,8 +36,8 @@
         answer, the other is promoted. Cause: choosing among those that
         answered.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
         outs = []
         for connection in driver.busy('u2'):
             outs += driver.reply(connection, support.report())
@@ -52,13 +54,13 @@
         promoted. Cause: choosing the best without asking whether it is good
         enough.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         key, _ = driver.submit(verb=support.Verb.WRITE)
         (writing,) = [c for c in driver.busy('u1') if c.work == key]
         driver.reply(writing, support.ok('s', Place(1, 6)))
         driver.list_upstreams(names=('u1', 'u2'))
-        failing.lose_primary(driver)
-        outs = failing.answer_controls(driver, u2=Place(1, 2))
+        failover_support.lose_primary(driver)
+        outs = failover_support.answer_control_commands(driver, u2=Place(1, 2))
         outs += driver.tick(300)
         self.assertEqual([], support.orders(outs))
 
@@ -71,8 +73,8 @@
         the newest; the replica answers but goes on receiving. Cause: taking
         any answer for a pause.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
         outs = []
         for connection in driver.busy():
             if connection.errand is states.Errand.CONTROL:
@@ -98,8 +100,8 @@
         answers at last; the first one's old report decides. Cause: a report
         outlives the pause that it reports.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
         for connection in driver.busy('u2'):
             driver.reply(connection, support.report(received=Place(1, 9)))
         driver.tick(240)
@@ -116,9 +118,11 @@
         holder orders another upstream; the first order is carried out after
         the second. Cause: a second target under the same token.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        (first,) = support.orders(failing.answer_controls(driver))
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        (first,) = support.orders(
+            failover_support.answer_control_commands(driver)
+        )
         outs = driver.post(
             messages.Ordered(
                 first.upstream, first.token, OrderResult.UNANSWERED
@@ -136,9 +140,11 @@
         asked anew. Cause: comparing with the report of the chosen one, which
         is gone by then.
         """
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        (order,) = support.orders(failing.answer_controls(driver))
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        (order,) = support.orders(
+            failover_support.answer_control_commands(driver)
+        )
         unanswered = OrderResult.UNANSWERED
         driver.post(messages.Ordered(order.upstream, order.token, unanswered))
         driver.tick(240)
@@ -157,8 +163,8 @@
         that it leads by now. Cause: looking it up among those listed.
         """
         for role in Role:
-            driver = failing.holder()
-            failing.lose_primary(driver)
+            driver = failover_support.make_lease_holder()
+            failover_support.lose_primary(driver)
             driver.list_upstreams(names=('u1', 'u2'), revision=2)
             for connection in driver.busy('u3'):
                 driver.reply(connection, support.report(role=role))
@@ -168,9 +174,11 @@
 
     def test_refused_order_ends_the_duty(self):
         """A higher token was seen, so another proxy holds the duty."""
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        (order,) = support.orders(failing.answer_controls(driver))
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        (order,) = support.orders(
+            failover_support.answer_control_commands(driver)
+        )
         refused = OrderResult.REFUSED
         driver.post(messages.Ordered(order.upstream, order.token, refused))
         outs = driver.tick(2000)
@@ -179,8 +187,8 @@
 
     def test_primary_that_is_back_is_left_alone(self):
         """Silence that ended before anyone was chosen replaces nobody."""
-        driver = failing.holder()
-        failing.lose_primary(driver)
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
         outs = []
         for _ in range(20):
             outs += driver.tick(20)
@@ -202,9 +210,11 @@
         repeated if it had no answer, until its time was over.
         """
         for result in (OrderResult.ACCEPTED, OrderResult.UNANSWERED):
-            driver = failing.holder()
-            failing.lose_primary(driver)
-            (order,) = support.orders(failing.answer_controls(driver))
+            driver = failover_support.make_lease_holder()
+            failover_support.lose_primary(driver)
+            (order,) = support.orders(
+                failover_support.answer_control_commands(driver)
+            )
             gone = order.upstream
             outs = driver.list_upstreams(
                 primary='', revision=2, born_ms={gone: 99}
@@ -214,16 +224,20 @@
                 driver.open_all()
                 outs += driver.tick(20)
                 driver.answer_guards(primary='')
-                outs += failing.answer_controls(driver, **{gone: Place(0, 0)})
+                outs += failover_support.answer_control_commands(
+                    driver, **{gone: Place(0, 0)}
+                )
             again = [o for o in support.orders(outs) if o.token != order.token]
             self.assertEqual([], [o for o in again if o.upstream == gone])
             self.assertEqual(1, len(again))
 
     def succeeded(self, driver: support.Driver) -> None:
         """Have `u2`, whose log is longer than that of `u3`, follow `u1`."""
-        failing.lose_primary(driver)
+        failover_support.lose_primary(driver)
         places = {'u2': Place(1, 7), 'u3': Place(1, 6)}
-        (order,) = support.orders(failing.answer_controls(driver, **places))
+        (order,) = support.orders(
+            failover_support.answer_control_commands(driver, **places)
+        )
         accepted = OrderResult.ACCEPTED
         driver.post(messages.Ordered(order.upstream, order.token, accepted))
         driver.list_upstreams(primary='u2', revision=2)
@@ -249,7 +263,7 @@
         ordered at 1.7, u3 is at 1.6; 4134 ms u2 is demoted; 4143 ms u3 is
         ordered at 1.6, with u2 at 1.7.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         self.succeeded(driver)
         self.assertIsNone(driver.state.promotion)
         chosen = self.chosen(driver, u2=Place(1, 7), u3=Place(1, 6))
--- a/topazring/core/synchronous/tests/test_promotion_lease.py
+++ b/topazring/core/synchronous/tests/test_promotion_lease.py
@@ -5,7 +5,7 @@
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import failing
+from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
 OrderResult = messages.OrderResult
@@ -53,7 +53,7 @@
 
     def test_pause_is_noticed_before_the_first_message(self):
         """What came during a pause is read before the timer is due."""
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.tick(400)
         driver.now_ms += 3000
         driver.answer_guards()
@@ -75,7 +75,7 @@
         the new primary, and its order is refused. Cause: acting on a duty
         that was not confirmed again.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         driver.tick(20, paused_ms=1500)
         self.assertFalse(driver.state.holds_duty)
 
@@ -87,15 +87,15 @@
         again; a proxy on the other side could promote. Cause: holding on to
         a duty that one cannot do.
         """
-        driver = failing.holder()
-        outs = failing.lose_primary(driver) + driver.tick(900)
+        driver = failover_support.make_lease_holder()
+        outs = failover_support.lose_primary(driver) + driver.tick(900)
         yields = yielded(outs)
         self.assertEqual(1, len(yields))
 
     def test_other_proxies_promote_nobody(self):
         """Without the duty a lost primary is only searched for."""
         driver = support.Driver().ready()
-        outs = failing.lose_primary(driver)
+        outs = failover_support.lose_primary(driver)
         self.assertEqual([], support.orders(outs))
         self.assertIsNone(driver.state.promotion)
 
@@ -110,12 +110,17 @@
         driver = support.Driver().ready()
         driver.post(messages.DutySeen(True, 100))
         outs = driver.tick(120)
-        self.assertEqual(set(), failing.told(driver, statements.Resume))
+        self.assertEqual(
+            set(), failover_support.command_targets(driver, statements.Resume)
+        )
         (order,) = support.orders(outs + driver.answer_guards())
         accepted = OrderResult.ACCEPTED
         driver.post(messages.Ordered(order.upstream, order.token, accepted))
         driver.tick(20)
-        self.assertEqual({'u2', 'u3'}, failing.told(driver, statements.Resume))
+        self.assertEqual(
+            {'u2', 'u3'},
+            failover_support.command_targets(driver, statements.Resume),
+        )
 
 
 class AnotherHolderTest(testtools.TestCase):
@@ -146,11 +151,11 @@
         40002; 23.221 s sasolburg-2 considers a promotion, `no replica follows
         it`; 23.232 s it orders with token 20003.
         """
-        driver = failing.holder()
+        driver = failover_support.make_lease_holder()
         for _ in range(5):
             driver.tick(20)
             driver.answer_guards()
-            failing.answer_controls(driver)
+            failover_support.answer_control_commands(driver)
         self.assertEqual(set(), driver.state.paused)
         outs = self.paused_by_another(driver)
         self.assertEqual(
@@ -169,8 +174,8 @@
 
     def test_its_own_pauses(self):
         """Those of an attempt of its own, and what that left paused."""
-        driver = failing.holder()
-        failing.lose_primary(driver)
-        outs = failing.answer_controls(driver)
+        driver = failover_support.make_lease_holder()
+        failover_support.lose_primary(driver)
+        outs = failover_support.answer_control_commands(driver)
         outs += self.paused_by_another(driver)
         self.assertEqual([], yielded(outs))
--- a/topazring/core/synchronous/tests/test_proofs.py
+++ b/topazring/core/synchronous/tests/test_proofs.py
@@ -3,12 +3,12 @@
 import testtools
 
 from topazring.core import outcomes
+from topazring.core.synchronous import member_queries
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import questions
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
-from topazring.core.synchronous.tests import proving
+from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
@@ -35,18 +35,26 @@
         BEGIN that succeeds for a proof that nobody else leads.
         """
         driver, key = self.running()
-        outs = proving.answer_read(driver, key)
-        outs += proving.answer_questions(driver, 'u2', proving.REFUSED)
-        outs += proving.answer_questions(driver, 'u3', support.ok())
+        outs = proof_support.answer_read(driver, key)
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u2', proof_support.REFUSED
+        )
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u3', support.ok()
+        )
         self.assertNotIn(key, support.answers(outs))
 
     def test_answered_once_all_others_refuse(self):
         """Neither led after the read had arrived."""
         driver, key = self.running()
-        outs = proving.answer_read(driver, key)
-        outs += proving.answer_questions(driver, 'u2', proving.REFUSED)
+        outs = proof_support.answer_read(driver, key)
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u2', proof_support.REFUSED
+        )
         self.assertNotIn(key, support.answers(outs))
-        outs = proving.answer_questions(driver, 'u3', proving.REFUSED)
+        outs = proof_support.answer_leadership_checks(
+            driver, 'u3', proof_support.REFUSED
+        )
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
     def test_refusal_of_before_proves_nothing(self):
@@ -55,7 +63,7 @@
         sent_ms = driver.now_ms - 1
         for name in ('u2', 'u3'):
             proofs.note_refusal(driver.state.upstreams[name], sent_ms)
-        outs = proving.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         self.assertNotIn(key, support.answers(outs))
 
     def test_questions_are_shared(self):
@@ -78,11 +86,15 @@
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT, transaction=7, begins=True)
-        proving.answer_read(driver, key)
-        outs = proving.answer_read(driver, key)
+        proof_support.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         self.assertNotIn(key, support.answers(outs))
-        proving.answer_questions(driver, 'u2', proving.REFUSED)
-        outs = proving.answer_questions(driver, 'u3', proving.REFUSED)
+        proof_support.answer_leadership_checks(
+            driver, 'u2', proof_support.REFUSED
+        )
+        outs = proof_support.answer_leadership_checks(
+            driver, 'u3', proof_support.REFUSED
+        )
         self.assertIn(key, support.answers(outs))
 
     def test_proof_of_another_primary_is_none(self):
@@ -100,7 +112,7 @@
         driver.state.primary = 'u2'
         driver.state.upstreams['u2'].lead_term = 2
         driver.state.term = 2
-        outs = proving.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         self.assertNotIn(key, support.answers(outs))
 
     def test_write_needs_no_proof(self):
@@ -109,9 +121,11 @@
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         driver.tick(20)
-        outs = proving.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         self.assertNotIn(key, support.answers(outs))
-        outs = proving.answer_looks(driver, 'u2', term=1, held_term=0)
+        outs = proof_support.answer_status_queries(
+            driver, 'u2', term=1, held_term=0
+        )
         self.assertIn(key, support.answers(outs))
 
     def test_confirmed_write_proves_the_lead_for_reads_before_it(self):
@@ -120,15 +134,17 @@
         The others' silence alone leaves the lead unproved.
         """
         driver, key = self.running(names=('u1', 'u2', 'u3', 'u4'))
-        outs = proving.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         driver.submit(support.EXACT, Verb.WRITE)
-        outs += proving.answer_looks(driver, 'u2', held_term=0)
+        outs += proof_support.answer_status_queries(driver, 'u2', held_term=0)
         (write,) = [c for c in driver.busy('u1') if c.writing]
         place = support.Place(1, 6)
         outs += driver.reply(write, support.ok('signed', place=place))
         self.assertNotIn(key, support.answers(outs))
         outs += driver.tick(20)
-        outs += proving.answer_looks(driver, 'u2', received=place, held_term=0)
+        outs += proof_support.answer_status_queries(
+            driver, 'u2', received=place, held_term=0
+        )
         self.assertIn(key, support.answers(outs))
 
     def test_refused_at_once_where_nothing_can_be_proved(self):
@@ -138,10 +154,12 @@
         waiting for a proof that is not to be had.
         """
         driver, key = self.running()
-        outs = proving.answer_read(driver, key)
+        outs = proof_support.answer_read(driver, key)
         for _ in range(20):
             outs += driver.tick(20)
-            outs += proving.answer_questions(driver, 'u1', support.ok())
+            outs += proof_support.answer_leadership_checks(
+                driver, 'u1', support.ok()
+            )
         self.assertIsInstance(support.answers(outs)[key], outcomes.NotRun)
         key, outs = driver.submit(support.EXACT)
         refusal = support.answers(outs)[key]
@@ -153,7 +171,7 @@
         driver, _ = self.running()
         for _ in range(20):
             driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
         for _ in range(3):
             driver.answer_guards()
             driver.tick(20)
@@ -169,15 +187,17 @@
         driver = support.Driver().ready()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT)
-        proving.answer_read(driver, key)
-        proving.answer_questions(driver, 'u2', proving.REFUSED)
-        driver.tick(questions.SILENT_MS + 20)
+        proof_support.answer_read(driver, key)
+        proof_support.answer_leadership_checks(
+            driver, 'u2', proof_support.REFUSED
+        )
+        driver.tick(member_queries.SILENT_MS + 20)
         return driver, key
 
     def test_replica_of_the_same_term(self):
         """The silent one, should it lead, finds nobody to confirm."""
         driver, key = self.silent()
-        outs = proving.answer_looks(driver, 'u2', held_term=0)
+        outs = proof_support.answer_status_queries(driver, 'u2', held_term=0)
         self.assertIsInstance(support.answers(outs)[key], outcomes.Done)
 
     def test_replica_that_is_deaf_speaks_as_well(self):
@@ -191,7 +211,9 @@
         driver, key = self.silent()
         driver.state.upstreams['u1'].lead_term = 2
         driver.state.term = 2
-        outs = proving.answer_looks(driver, 'u2', held_term=0, term=1)
+        outs = proof_support.answer_status_queries(
+            driver, 'u2', held_term=0, term=1
+        )
         self.assertIn(key, support.answers(outs))
 
     def only_one_answers(self, name: str) -> tuple[support.Driver, int]:
@@ -201,21 +223,25 @@
         driver.open_all()
         driver.now_ms += 20
         key, _ = driver.submit(support.EXACT)
-        proving.answer_read(driver, key)
-        proving.answer_questions(driver, name, proving.REFUSED)
-        driver.tick(questions.SILENT_MS + 20)
+        proof_support.answer_read(driver, key)
+        proof_support.answer_leadership_checks(
+            driver, name, proof_support.REFUSED
+        )
+        driver.tick(member_queries.SILENT_MS + 20)
         return driver, key
 
     def test_two_silent_members(self):
         """One may lead and the other confirm."""
         driver, key = self.only_one_answers('u2')
-        outs = proving.answer_looks(driver, 'u2', held_term=0)
+        outs = proof_support.answer_status_queries(driver, 'u2', held_term=0)
         self.assertNotIn(key, support.answers(outs))
 
     def test_replica_of_a_newer_term_speaks_against_it(self):
         """Another leads."""
         driver, key = self.silent()
-        outs = proving.answer_looks(driver, 'u2', held_term=0, term=2)
+        outs = proof_support.answer_status_queries(
+            driver, 'u2', held_term=0, term=2
+        )
         self.assertNotIn(key, support.answers(outs))
 
     def test_replica_that_has_just_come_speaks_for_nobody(self):
@@ -228,13 +254,13 @@
         not know.
         """
         driver, key = self.only_one_answers('u4')
-        outs = proving.answer_looks(driver, 'u4', held_term=0)
+        outs = proof_support.answer_status_queries(driver, 'u4', held_term=0)
         self.assertNotIn(key, support.answers(outs))
 
     def replaced(self, witness_term: int) -> outcomes.Outcome | None:
         """Have a read wait at the successor of a primary that went dark."""
         driver = support.Driver().ready()
-        for _ in range(proofs.VOUCH_MS // 20 + 20):
+        for _ in range(proofs.ESTABLISHED_AFTER_MS // 20 + 20):
             driver.tick(20)
             driver.answer_guards()
         driver.list_upstreams(primary='u2', revision=2)
@@ -244,7 +270,7 @@
         driver.submit(support.EXACT, Verb.WRITE)
         (write,) = [c for c in driver.busy('u2') if c.writing]
         driver.reply(write, support.ok('signed', place=Place(2, 6)))
-        for _ in range(questions.WITNESS_SAMPLE_GAP_MS // 20 + 5):
+        for _ in range(member_queries.WITNESS_SAMPLE_INTERVAL_MS // 20 + 5):
             self.answer_but_the_dark_one(driver, Place(2, 6), witness_term)
         key, outs = driver.submit(support.EXACT)
         for _ in range(10):
@@ -266,12 +292,16 @@
             dialled = connection.phase is states.Phase.OPENING
             if dialled and connection.upstream != 'u1':
                 outs += driver.post(messages.Opened(connection.number, place))
-        outs += proving.answer_questions(driver, 'u2', support.ok(place=place))
-        outs += proving.answer_questions(driver, 'u3', proving.REFUSED)
-        outs += proving.answer_looks(
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u2', support.ok(place=place)
+        )
+        outs += proof_support.answer_leadership_checks(
+            driver, 'u3', proof_support.REFUSED
+        )
+        outs += proof_support.answer_status_queries(
             driver, 'u2', role=support.Role.PRIMARY, term=2, received=place
         )
-        return outs + proving.answer_looks(
+        return outs + proof_support.answer_status_queries(
             driver, 'u3', held_term=0, term=witness_term
         )
 
@@ -303,8 +333,10 @@
         outs = []
         for _ in range(20):
             outs += driver.tick(20)
-            proving.answer_questions(driver, 'u1', support.ok())
-            proving.answer_questions(driver, 'u2', proving.REFUSED)
+            proof_support.answer_leadership_checks(driver, 'u1', support.ok())
+            proof_support.answer_leadership_checks(
+                driver, 'u2', proof_support.REFUSED
+            )
         looks = [
             send
             for send in support.sends(outs)
@@ -334,7 +366,9 @@
             outs += driver.tick(20)
             outs += driver.answer_guards(primary='')
         self.assertNotIn(key, support.answers(outs))
-        self.assertFalse(proofs.in_doubt(driver.state, driver.now_ms))
+        self.assertFalse(
+            proofs.is_leadership_unproven(driver.state, driver.now_ms)
+        )
 
     def test_nobody_is_asked_for_a_witness_without_a_primary(self):
         """It would take slots for nothing, fifty times a second."""
--- a/topazring/core/synchronous/transactions.py
+++ b/topazring/core/synchronous/transactions.py
@@ -7,7 +7,7 @@
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import primary
 from topazring.core.synchronous import proofs
-from topazring.core.synchronous import settling
+from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
@@ -30,7 +30,7 @@
         connection.number,
         request.read_only,
         request.policy.transaction_idle_ms,
-        proofs.needed_ms(connection.commands, request),
+        proofs.required_proof_ms(connection.commands, request),
     )
     command = exchanges.statement_command(request)
     return [
@@ -98,7 +98,7 @@
     transaction: states.Transaction,
 ) -> list:
     state.transactions.pop(work.request.transaction, None)
-    outs = settling.release(state, now_ms, connection, reply)
+    outs = reply_effects.release_connection(state, now_ms, connection, reply)
     if transaction.wrote:
         return outs + completion.acknowledge_when_durable(
             state, now_ms, work, connection, reply
@@ -127,12 +127,14 @@
     state.transactions.pop(request.transaction, None)
     connections.mark_idle(connection, now_ms)
     if reply.state is SessionState.IDLE:
-        outs = settling.release(state, now_ms, connection, reply)
+        outs = reply_effects.release_connection(
+            state, now_ms, connection, reply
+        )
     else:
         outs = dispatch.roll_back(state, now_ms, connection)
     upstream = state.upstreams.get(connection.upstream)
     if reply.code is Code.READ_ONLY and upstream is not None:
-        outs += primary.note_refuted(state, now_ms, upstream)
+        outs += primary.note_not_leading(state, now_ms, upstream)
     if reply.code in (Code.FAILED, Code.TIMEOUT, Code.OTHER):
         return outs + completion.answer(
             state, work, outcomes.Unknown(Reason.UPSTREAM_FAILED)
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -10,7 +10,7 @@
 from topazring.core import outcomes
 from topazring.core.synchronous import forwarding
 from topazring.core.synchronous import messages
-from topazring.core.synchronous import prospects
+from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import sessions
 from topazring.core.synchronous import statements
 from topazring.plumbing import clock
@@ -249,7 +249,9 @@
             await self.stream.write(self.host.codec.refusal(rejected))
             return False
         if self._comes_too_late(session, statement):
-            refusal = outcomes.NotRun(Reason.DRAINING, prospects.ELSEWHERE_MS)
+            refusal = outcomes.NotRun(
+                Reason.DRAINING, primary_availability.OTHER_PROXY_RETRY_MS
+            )
             self.host.note(str(statement.verb), refusal, 0)
             await self._answer(refusal)
             return True
