--- a/topazring/core/synchronous/arrival.py
+++ b/topazring/core/synchronous/arrival.py
@@ -37,7 +37,7 @@
     deadline_ms = request.arrived_ms + request.policy.timeout_ms
     work = states.Work(request, deadline_ms)
     state.work[request.key] = work
-    if request.goes_on:
+    if request.continues_transaction:
         return dispatch.continue_transaction(state, now_ms, work)
     work.primary_only = request.needs_primary
     refusal = _refusal(state, now_ms, work)
--- a/topazring/core/synchronous/attempts.py
+++ b/topazring/core/synchronous/attempts.py
@@ -260,7 +260,7 @@
 
     What the paused ones hold is not enough before they have followed it.
     """
-    start = state.start
+    start = state.primary_start
     if start.upstream == state.primary and place < start.place:
         return False
     return place >= state.acknowledged
@@ -278,7 +278,7 @@
     reaches as far is complete, whoever departed.
     """
     primaries = frozenset(
-        {attempt.old_primary, state.proven, state.last_primary}
+        {attempt.old_primary, state.proven_primary, state.last_primary}
     )
     for name in primaries:
         report = attempt.reports.get(name)
@@ -286,7 +286,7 @@
             continue
         if place >= report.received:
             return True
-    return not state.departures.may_exceed(now_ms, place, primaries)
+    return not state.departed_members.may_exceed(now_ms, place, primaries)
 
 
 def _may_hold_alone(
@@ -303,7 +303,7 @@
     report = attempt.reports.get(attempt.old_primary)
     if report is None or highest >= report.received:
         return False
-    start = state.start
+    start = state.primary_start
     if start.upstream == attempt.old_primary and highest >= start.place:
         return False
     return highest.log_term < report.term
@@ -317,7 +317,7 @@
     old = state.upstreams.get(attempt.old_primary)
     if attempt.unconfirmed or old is None:
         return floor
-    settled_ms = old.heard_ms - ASSUME_ACKNOWLEDGED_MS
+    settled_ms = old.last_received_ms - ASSUME_ACKNOWLEDGED_MS
     for sample in state.samples:
         if sample.sent_ms <= settled_ms:
             floor = max(floor, sample.place)
--- a/topazring/core/synchronous/completion.py
+++ b/topazring/core/synchronous/completion.py
@@ -10,8 +10,8 @@
 from topazring.core import outcomes
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import reply_effects
 from topazring.core.synchronous import request_queues
@@ -50,7 +50,7 @@
 
 def may_have_run(work: states.Work) -> bool:
     """Say whether an upstream has the request, or has answered it."""
-    return bool(work.running) or work.ready is not None
+    return bool(work.running) or work.unproven_answer is not None
 
 
 def answer(
@@ -62,19 +62,19 @@
     belongs to nobody any more.
     """
     del state.work[work.request.key]
-    if work.queued:
+    if work.is_queued:
         request_queues.remove(state, work)
     state.counters[_label(outcome)] += 1
     answered = messages.Answer(work.request.key, outcome)
-    if not work.told:
+    if not work.is_traced:
         return [answered]
     return [answered, _tell_answered(work, outcome)]
 
 
 def _tell_answered(
     work: states.Work, outcome: outcomes.Outcome
-) -> messages.Decided:
-    return messages.Decided(
+) -> messages.LogDecision:
+    return messages.LogDecision(
         'answered',
         work.request.statement.request_id,
         {
@@ -109,7 +109,7 @@
     leads = connection.upstream == state.primary
     if leads and needs_ms <= proofs.proven_until_ms(state):
         return answer(state, work, outcome)
-    work.needs_ms = needs_ms
+    work.proof_needed_ms = needs_ms
     return _hold(state, work, outcome, needs_ms)
 
 
@@ -133,8 +133,8 @@
     at_ms: int,
 ) -> list:
     """Keep an answer until the lead is proved for a moment, or more."""
-    work.ready = outcome
-    state.held.add(work.request.key)
+    work.unproven_answer = outcome
+    state.awaiting_proof.add(work.request.key)
     proofs.request_proof(state, at_ms)
     return []
 
@@ -147,7 +147,7 @@
     reply: statements.Reply,
 ) -> list:
     """Acknowledge a write that its upstream confirmed, once that is sound."""
-    confirmation = known_places.Confirmation(
+    confirmation = position_records.Confirmation(
         connection.upstream,
         connection.sent_ms,
         now_ms,
@@ -169,11 +169,11 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
     outcome: outcomes.Done,
 ) -> list:
     reply_effects.note_confirmed(state, confirmation)
-    state.unsure_ms = states.NEVER_MS
+    state.unproven_write_ms = states.NEVER_MS
     told = _tell_acknowledged(state, now_ms, work, confirmation)
     return told + answer(state, work, outcome)
 
@@ -182,12 +182,12 @@
     state: states.GroupState,
     now_ms: int,
     work: states.Work,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> list:
     """Tell what was known of the members when one is not as usual."""
     usual = all(
-        upstream.vouches and not upstream.held_term
-        for upstream in states.others(state)
+        upstream.is_established and not upstream.held_term
+        for upstream in states.other_members(state)
     )
     if usual and not state.upstreams[state.primary].leaving:
         return []
@@ -195,10 +195,10 @@
         upstream.name: {
             'log_end': str(upstream.log_end),
             'held_term': upstream.held_term,
-            'reported_ms_ago': now_ms - upstream.reported_sent_ms,
-            'listed_for_ms': now_ms - upstream.come_ms,
+            'reported_ms_ago': now_ms - upstream.answered_status_sent_ms,
+            'listed_for_ms': now_ms - upstream.first_listed_ms,
         }
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
     }
     inputs = {
         'upstream': confirmation.upstream,
@@ -207,29 +207,29 @@
         'members': members,
     }
     request_id = work.request.statement.request_id
-    return [messages.Decided('acknowledged', request_id, inputs)]
+    return [messages.LogDecision('acknowledged', request_id, inputs)]
 
 
 def answer_proven(state: states.GroupState, now_ms: int) -> list:
     """Answer what waits for the proof that its upstream led."""
-    if not state.held:
+    if not state.awaiting_proof:
         return []
     outs: list = []
-    for key in sorted(state.held):
+    for key in sorted(state.awaiting_proof):
         work = state.work.get(key)
-        if work is None or work.ready is None:
-            state.held.discard(key)
-        elif work.ready.served_by != state.primary:
+        if work is None or work.unproven_answer is None:
+            state.awaiting_proof.discard(key)
+        elif work.unproven_answer.served_by != state.primary:
             outs += _after_replacement(state, now_ms, work)
         elif work.confirmation is not None:
             outs += _acknowledge_held(state, now_ms, work)
     # What was just acknowledged proves the lead for reads before it.
     proven = proofs.proven_until_ms(state)
-    for key in sorted(state.held):
+    for key in sorted(state.awaiting_proof):
         work = state.work[key]
-        if work.confirmation is None and work.needs_ms <= proven:
-            state.held.discard(key)
-            outs += answer(state, work, work.ready)
+        if work.confirmation is None and work.proof_needed_ms <= proven:
+            state.awaiting_proof.discard(key)
+            outs += answer(state, work, work.unproven_answer)
     return outs
 
 
@@ -239,8 +239,10 @@
     confirmation = work.confirmation
     if not confirmations.is_durable(state, now_ms, confirmation):
         return []
-    state.held.discard(work.request.key)
-    return _acknowledge(state, now_ms, work, confirmation, work.ready)
+    state.awaiting_proof.discard(work.request.key)
+    return _acknowledge(
+        state, now_ms, work, confirmation, work.unproven_answer
+    )
 
 
 def _after_replacement(
@@ -258,16 +260,16 @@
         )
     if carried_on is None:
         return []
-    state.held.discard(work.request.key)
+    state.awaiting_proof.discard(work.request.key)
     if carried_on:
-        return answer(state, work, work.ready)
+        return answer(state, work, work.unproven_answer)
     return _replaced(state, now_ms, work)
 
 
 def _replaced(
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
-    work.ready = None
+    work.unproven_answer = None
     if not has_no_lasting_effect(work):
         # Its upstream was replaced, with or without what it wrote.
         return give_up(state, now_ms, work, Reason.REPLACED, 0, maybe_ran=True)
@@ -288,16 +290,16 @@
     request = work.request
     held = work.confirmation
     if held is not None and held.upstream == state.primary:
-        state.unsure_ms = now_ms
+        state.unproven_write_ms = now_ms
     outcome = unserved_outcome(work, reason, retry_after_ms, maybe_ran)
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'gave up',
         request.statement.request_id,
         {
             'outcome': type(outcome).__name__,
             'reason': str(reason),
             'after_ms': now_ms - request.arrived_ms,
-            'offered': work.offered_ms is not None,
+            'offered': work.first_sent_ms is not None,
             'line': _line_of(work),
             'primary': state.primary,
             'primary_lost_ms': (
@@ -337,7 +339,7 @@
 
 def _line_of(work: states.Work) -> str:
     """Name the line in which a request waited."""
-    if work.is_moved:
+    if work.is_moved_to_primary:
         return 'primary, moved there'
     return 'primary' if work.primary_only else 'any'
 
@@ -361,7 +363,7 @@
     if left_out is None:
         return []
     last = state.work[left_out]
-    last.queued = False
+    last.is_queued = False
     return give_up(state, now_ms, last, Reason.BACKLOG, BACKLOG_RETRY_MS)
 
 
@@ -374,7 +376,7 @@
 ) -> list:
     """Put a request that did not run back in line."""
     state.counters[f'retry_{reason}'] += 1
-    work.told = True
+    work.is_traced = True
     work.last_reason = reason
     work.not_before_ms = now_ms + pause_ms
     if work.running:
@@ -383,7 +385,7 @@
     outs = enqueue(state, now_ms, work)
     return [
         *outs,
-        messages.Decided(
+        messages.LogDecision(
             'retries',
             work.request.statement.request_id,
             {
--- a/topazring/core/synchronous/concurrency_limit.py
+++ b/topazring/core/synchronous/concurrency_limit.py
@@ -47,19 +47,19 @@
 
 def start_hold(connection: states.Connection, now_ms: int) -> None:
     """Note that a connection is taken for a request from the line."""
-    connection.taken_ms = now_ms
+    connection.checked_out_ms = now_ms
 
 
 def end_hold(
     state: states.GroupState, now_ms: int, connection: states.Connection
 ) -> None:
     """Learn for how long a request kept its connection."""
-    taken_ms, connection.taken_ms = connection.taken_ms, None
+    taken_ms, connection.checked_out_ms = connection.checked_out_ms, None
     upstream = state.upstreams.get(connection.upstream)
     if taken_ms is None or upstream is None:
         return
     kept_ms = now_ms - taken_ms
-    upstream.kept_ms += (kept_ms - upstream.kept_ms) * HOLD_TIME_WEIGHT
+    upstream.hold_ms += (kept_ms - upstream.hold_ms) * HOLD_TIME_WEIGHT
 
 
 def expected_wait_ms(
@@ -84,8 +84,10 @@
         connection.phase is not states.Phase.OPENING
         for connection in states.connections_to(state, upstream.name)
     )
-    by_kept = held / max(1.0, upstream.kept_ms)
-    by_room = min(held, upstream.most_busy) / max(1.0, upstream.service_ms)
+    by_kept = held / max(1.0, upstream.hold_ms)
+    by_room = min(held, upstream.concurrency_limit) / max(
+        1.0, upstream.service_ms
+    )
     return min(by_kept, by_room)
 
 
@@ -96,25 +98,27 @@
     move the line from here, where the urgent goes first, to its queue, where
     it does not, and each statement of a transaction stands in that anew.
     """
-    if upstream.service_ms < upstream.quick_ms:
-        upstream.quick_ms = upstream.service_ms
+    if upstream.service_ms < upstream.unqueued_service_ms:
+        upstream.unqueued_service_ms = upstream.service_ms
     else:
-        slower_ms = upstream.service_ms - upstream.quick_ms
-        upstream.quick_ms += slower_ms * BASELINE_WEIGHT
+        slower_ms = upstream.service_ms - upstream.unqueued_service_ms
+        upstream.unqueued_service_ms += slower_ms * BASELINE_WEIGHT
     most = float(max(1, state.connection_share))
-    if upstream.service_ms > QUEUED_FACTOR * upstream.quick_ms:
-        upstream.most_busy = max(
-            1.0, min(most, upstream.most_busy) * DECREASE_FACTOR
+    if upstream.service_ms > QUEUED_FACTOR * upstream.unqueued_service_ms:
+        upstream.concurrency_limit = max(
+            1.0, min(most, upstream.concurrency_limit) * DECREASE_FACTOR
         )
     else:
-        upstream.most_busy = min(most, upstream.most_busy + INCREASE_STEP)
+        upstream.concurrency_limit = min(
+            most, upstream.concurrency_limit + INCREASE_STEP
+        )
 
 
 def reduce_limit(state: states.GroupState, upstream: states.Upstream) -> None:
     """Have fewer connections at work where the queue is full."""
     most = float(max(1, state.connection_share))
-    upstream.most_busy = max(
-        1.0, min(most, upstream.most_busy) * REFUSED_DECREASE_FACTOR
+    upstream.concurrency_limit = max(
+        1.0, min(most, upstream.concurrency_limit) * REFUSED_DECREASE_FACTOR
     )
 
 
@@ -133,7 +137,7 @@
         and connection.sent_ms >= late_ms
         for connection in states.connections_to(state, upstream.name)
     )
-    return busy < round(upstream.most_busy)
+    return busy < round(upstream.concurrency_limit)
 
 
 def late_after_ms(upstream: states.Upstream) -> float:
--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -29,7 +29,7 @@
 
 from topazring.core import log_positions
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -71,17 +71,17 @@
     Where none of the others has been there for long enough, all of them are
     asked.
     """
-    return _vouching(state) or states.others(state)
+    return _vouching(state) or states.other_members(state)
 
 
 def _vouching(state: states.GroupState) -> list[states.Upstream]:
-    return [u for u in states.others(state) if u.vouches]
+    return [u for u in states.other_members(state) if u.is_established]
 
 
 def is_durable(
     state: states.GroupState,
     now_ms: int,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> bool:
     """Say whether a confirmed write survives the loss of its primary."""
     listed = state.primary in state.upstreams
@@ -89,7 +89,7 @@
         return False
     if _is_contested(state) or _is_outdated(state, confirmation):
         return False
-    if not states.others(state):
+    if not states.other_members(state):
         # Nobody is listed who could be promoted.
         return True
     chosen = _ordered_successor(state)
@@ -105,7 +105,7 @@
 
 
 def is_in_successor_log(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool | None:
     """Say whether the heir of a write's primary began with the write.
 
@@ -116,7 +116,7 @@
     if before is None or not before.leaving:
         return False
     successor = state.upstreams.get(state.primary)
-    if successor is None or state.proven != state.primary:
+    if successor is None or state.proven_primary != state.primary:
         return None
     if _holds(successor, confirmation):
         return True
@@ -125,15 +125,15 @@
 
 
 def _is_outdated(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Say whether the term of the write is known to be over."""
     place = confirmation.place
     if place is not None and place.log_term < state.term:
         return True
-    if confirmation.sent_ms - state.over_ms >= ENDED_TERM_MS:
+    if confirmation.sent_ms - state.term_ended_ms >= ENDED_TERM_MS:
         return False
-    return place is None or place.log_term <= state.over_term
+    return place is None or place.log_term <= state.ended_term
 
 
 def _is_contested(state: states.GroupState) -> bool:
@@ -143,7 +143,7 @@
     """
     return any(
         proofs.contests_leadership(state, upstream)
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
     )
 
 
@@ -158,7 +158,7 @@
 def _heir_holds(
     state: states.GroupState,
     now_ms: int,
-    confirmation: known_places.Confirmation,
+    confirmation: position_records.Confirmation,
 ) -> bool:
     """Say whether the successor of a leaving primary holds a write.
 
@@ -172,28 +172,28 @@
     term = confirmation.place.log_term
     unpaused = [
         upstream
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
         if upstream.held_term <= term
         and not failure_detection.is_unanswered(
             state, now_ms, upstream, HAND_OVER_MS
         )
     ]
     is_any_known = any(
-        upstream.vouches or _is_known(upstream, confirmation)
+        upstream.is_established or _is_known(upstream, confirmation)
         for upstream in unpaused
     )
     return is_any_known and all(_holds(u, confirmation) for u in unpaused)
 
 
 def _is_known(
-    upstream: states.Upstream, confirmation: known_places.Confirmation
+    upstream: states.Upstream, confirmation: position_records.Confirmation
 ) -> bool:
     """Say whether a member was listed long before a write was sent."""
-    return confirmation.sent_ms - upstream.come_ms >= LISTING_DELAY_MS
+    return confirmation.sent_ms - upstream.first_listed_ms >= LISTING_DELAY_MS
 
 
 def _is_known_to_hold(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Say whether a promotion that begins now hears of a new member's log.
 
@@ -201,19 +201,19 @@
     """
     holders = [
         upstream
-        for upstream in states.others(state)
+        for upstream in states.other_members(state)
         if _is_known(upstream, confirmation)
-        and not upstream.began_again
+        and not upstream.is_recreated
         and _holds(upstream, confirmation)
     ]
     if not holders:
         return False
     held_ms = min(upstream.log_end_sent_ms for upstream in holders)
-    return any(u.reported_sent_ms >= held_ms for u in witnesses(state))
+    return any(u.answered_status_sent_ms >= held_ms for u in witnesses(state))
 
 
 def _is_any_paused(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> bool:
     """Say whether a member was paused for a promotion when last asked.
 
@@ -224,13 +224,13 @@
         return False
     return any(
         upstream.held_term > confirmation.place.log_term
-        and upstream.reported_sent_ms >= confirmation.sent_ms
+        and upstream.answered_status_sent_ms >= confirmation.sent_ms
         for upstream in witnesses(state)
     )
 
 
 def _holds(
-    upstream: states.Upstream, confirmation: known_places.Confirmation
+    upstream: states.Upstream, confirmation: position_records.Confirmation
 ) -> bool:
     """Say whether a member's log holds a write.
 
@@ -255,7 +255,7 @@
 
     One has waited long for that, or was given up a moment ago.
     """
-    if now_ms - state.unsure_ms < STALL_RETRY_MS:
+    if now_ms - state.unproven_write_ms < STALL_RETRY_MS:
         return True
     return any(
         now_ms - confirmation.confirmed_ms >= STALLED_AFTER_MS
@@ -266,9 +266,9 @@
 
 def pending_confirmations(
     state: states.GroupState,
-) -> list[known_places.Confirmation]:
+) -> list[position_records.Confirmation]:
     """Return the confirmations whose writes wait to be acknowledged."""
-    held = (state.work.get(key) for key in state.held)
+    held = (state.work.get(key) for key in state.awaiting_proof)
     return [
         work.confirmation
         for work in held
@@ -279,8 +279,8 @@
 def note_successor_gone(state: states.GroupState, now_ms: int) -> None:
     """Take in that one is gone that was to follow the last primary."""
     state.successor_gone = True
-    state.over_term = max(state.term, FIRST_TERM)
-    state.over_ms = now_ms
+    state.ended_term = max(state.term, FIRST_TERM)
+    state.term_ended_ms = now_ms
 
 
 def note_log_position(
@@ -305,9 +305,9 @@
     report: statements.StatusReport,
 ) -> None:
     """Take in a member's own word on its log, and whether it is paused."""
-    if sent_ms < upstream.reported_sent_ms:
+    if sent_ms < upstream.answered_status_sent_ms:
         return
-    upstream.reported_sent_ms = sent_ms
+    upstream.answered_status_sent_ms = sent_ms
     upstream.held_term = report.held_term
     if sent_ms >= upstream.log_end_sent_ms:
         upstream.log_end = report.received
--- a/topazring/core/synchronous/connections.py
+++ b/topazring/core/synchronous/connections.py
@@ -133,7 +133,7 @@
     before = state.connection_share
     state.connection_share = share
     inputs = {'share': share, 'before': before}
-    outs: list = [messages.Decided('connection share', inputs=inputs)]
+    outs: list = [messages.LogDecision('connection share', inputs=inputs)]
     for upstream in state.upstreams:
         spare = states.idle_connections(state, upstream)
         excess = len(states.connections_to(state, upstream)) - share
@@ -171,7 +171,7 @@
     share = state.connection_share
     if just_began:
         share = min(state.starting_share, share)
-    if state.holds_duty:
+    if state.holds_promotion_lease:
         # Whoever promotes has to see the members, owner or not.
         share = max(1, share)
     for upstream in state.upstreams.values():
@@ -215,7 +215,7 @@
         return outs
     for name in state.upstreams:
         if len(states.connections_to(state, name)) <= max(
-            state.connection_share, int(state.holds_duty)
+            state.connection_share, int(state.holds_promotion_lease)
         ):
             continue
         idle = states.idle_connections(state, name)
@@ -250,20 +250,20 @@
         return close_connection(state, connection)
     upstream.dial_after_ms = 0
     upstream.is_full = False
-    if not upstream.out_of_reach:
+    if not upstream.is_unreachable:
         return []
-    upstream.out_of_reach = False
+    upstream.is_unreachable = False
     inputs = {
         'upstream': upstream.name,
-        'unheard_ms': now_ms - upstream.heard_ms,
+        'unheard_ms': now_ms - upstream.last_received_ms,
     }
-    return [messages.Decided('upstream reached', inputs=inputs)]
+    return [messages.LogDecision('upstream reached', inputs=inputs)]
 
 
 def mark_idle(connection: states.Connection, now_ms: int) -> None:
     """Have a connection wait for its next commands."""
     connection.phase = states.Phase.IDLE
-    connection.errand = states.Errand.NONE
+    connection.purpose = states.Purpose.NONE
     connection.commands = ()
     connection.work = 0
     connection.idle_since_ms = now_ms
@@ -295,15 +295,15 @@
     _note_unheard(upstream, connection)
     pause_ms = DIAL_RETRY_MS * upstream.failed_dials
     upstream.dial_after_ms = now_ms + min(pause_ms, MAX_DIAL_RETRY_MS)
-    if upstream.out_of_reach:
+    if upstream.is_unreachable:
         return []
-    upstream.out_of_reach = True
+    upstream.is_unreachable = True
     inputs = {
         'upstream': upstream.name,
         'reason': str(message.reason),
-        'unheard_ms': now_ms - upstream.heard_ms,
+        'unheard_ms': now_ms - upstream.last_received_ms,
     }
-    return [messages.Decided('upstream out of reach', inputs=inputs)]
+    return [messages.LogDecision('upstream out of reach', inputs=inputs)]
 
 
 def _note_unheard(
@@ -314,21 +314,21 @@
     Not if the upstream was heard on another one since: then that connection
     alone was silent, and its end must not make the upstream look lost.
     """
-    if upstream.heard_ms > connection.sent_ms:
+    if upstream.last_received_ms > connection.sent_ms:
         return
-    if upstream.unheard_since_ms is None:
-        upstream.unheard_since_ms = connection.sent_ms
+    if upstream.unresponsive_since_ms is None:
+        upstream.unresponsive_since_ms = connection.sent_ms
 
 
 def _lost(
     now_ms: int, connection: states.Connection, message: messages.Closed
-) -> messages.Decided:
-    return messages.Decided(
+) -> messages.LogDecision:
+    return messages.LogDecision(
         'connection lost',
         inputs={
             'upstream': connection.upstream,
             'reason': str(message.reason),
-            'errand': str(connection.errand),
+            'errand': str(connection.purpose),
             'after_ms': now_ms - connection.sent_ms,
             'in_transaction': bool(connection.transaction),
         },
@@ -388,12 +388,12 @@
 def send(
     connection: states.Connection,
     now_ms: int,
-    errand: states.Errand,
+    errand: states.Purpose,
     commands: tuple[statements.Command, ...],
 ) -> messages.Send:
     """Send commands on a connection and note what for."""
     connection.phase = states.Phase.BUSY
-    connection.errand = errand
+    connection.purpose = errand
     connection.commands = commands
     connection.sent_ms = now_ms
     return messages.Send(connection.number, commands)
--- a/topazring/core/synchronous/departures.py
+++ b/topazring/core/synchronous/departed_members.py
@@ -15,26 +15,26 @@
 
 from topazring.core import log_positions
 
-__all__ = ['Departure', 'Departures']
+__all__ = ['DepartedMember', 'DepartedMembers']
 
 # One of whom nothing is known is waited for so long. Its entry lapses after
 # three heartbeats and is missed for two seconds more, so most that crashed are
 # back by then; one that is gone for good must not be waited for. With 10 s a
 # group that lost its primary and a replica for good took no writes for 15 s.
-KEPT_MS = 3000
+UNBOUNDED_WAIT_MS = 3000
 # A bound holds for longer: it stops nobody who has received it, and the
 # longest time for which a replica receives nothing is a third of this.
-BOUND_KEPT_MS = 20_000
+BOUND_LIFETIME_MS = 20_000
 # Stands for all that departed before this process began.
-BEFORE = '(before)'
+BEFORE_START = '(before)'
 
 
 @dataclasses.dataclass(slots=True)
-class Departure:
+class DepartedMember:
     """Hold when an upstream was seen to be gone, and what it had at most."""
 
     name: str
-    seen_ms: int
+    departed_ms: int
     # It had said so before, or another bears its name now; such a one does
     # not come back.
     left: bool = False
@@ -43,11 +43,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Departures:
+class DepartedMembers:
     """Hold the upstreams of a group that are listed no more."""
 
     # By name and birth: one that begins again under its name is another.
-    known: dict[tuple[str, int], Departure] = dataclasses.field(
+    known: dict[tuple[str, int], DepartedMember] = dataclasses.field(
         default_factory=dict
     )
 
@@ -63,23 +63,27 @@
 
         `paused_at` is where its log ended if it was paused until now.
         """
-        departure = Departure(name, now_ms, left, paused_at)
+        departure = DepartedMember(name, now_ms, left, paused_at)
         self.known[(name, born_ms)] = departure
 
-    def begin(self, now_ms: int, place: log_positions.LogPosition) -> None:
+    def record_first_place(
+        self, now_ms: int, place: log_positions.LogPosition
+    ) -> None:
         """Take in the first place that a primary reports to this process.
 
         Whoever departed before it began may have confirmed all up to there.
         That ends like other departures: what hangs unconfirmed at a primary
         counts in it too, and would keep every replica from following.
         """
-        self.known[(BEFORE, 0)] = Departure(BEFORE, now_ms, bound=place)
+        self.known[(BEFORE_START, 0)] = DepartedMember(
+            BEFORE_START, now_ms, bound=place
+        )
 
     def remove(self, name: str, born_ms: int = 0) -> None:
         """Take in that an upstream is back: it can be asked again."""
         self.known.pop((name, born_ms), None)
 
-    def note_lead(self, name: str) -> None:
+    def record_leader(self, name: str) -> None:
         """Take in that an upstream leads: whoever bore its name is no matter.
 
         It began with all that was acknowledged, and it can be asked.
@@ -91,12 +95,12 @@
         """Say whether one of that name was listed before."""
         return any(departure.name == name for departure in self.known.values())
 
-    def note_primary(
+    def record_primary_place(
         self, sent_ms: int, place: log_positions.LogPosition
     ) -> None:
         """Take in where the primary's log stood after a time of sending."""
         for departure in self.known.values():
-            if departure.bound is None and departure.seen_ms <= sent_ms:
+            if departure.bound is None and departure.departed_ms <= sent_ms:
                 departure.bound = place
 
     def may_exceed(
@@ -120,14 +124,14 @@
             departure.name
             for departure in self.known.values()
             if departure.name not in primaries
-            and now_ms - departure.seen_ms < _kept_ms(departure)
+            and now_ms - departure.departed_ms < _kept_ms(departure)
             and not (ended and departure.left)
             and (departure.bound is None or departure.bound > place)
         ]
 
 
-def _kept_ms(departure: Departure) -> int:
+def _kept_ms(departure: DepartedMember) -> int:
     """Return for how long a departure counts."""
-    if departure.bound is None or departure.name == BEFORE:
-        return KEPT_MS
-    return BOUND_KEPT_MS
+    if departure.bound is None or departure.name == BEFORE_START:
+        return UNBOUNDED_WAIT_MS
+    return BOUND_LIFETIME_MS
--- a/topazring/core/synchronous/dispatch.py
+++ b/topazring/core/synchronous/dispatch.py
@@ -124,11 +124,11 @@
     request_queues.remove(state, work)
     work.primary_only = True
     outs = completion.enqueue(state, now_ms, work)
-    if not work.queued:
+    if not work.is_queued:
         return outs
     state.counters['read_moved_to_primary'] += 1
-    work.told = True
-    moved = messages.Decided(
+    work.is_traced = True
+    moved = messages.LogDecision(
         'read needs the primary',
         work.request.statement.request_id,
         {
@@ -148,10 +148,10 @@
     after: log_positions.LogPosition | None,
 ) -> list:
     request = work.request
-    if work.queued:
+    if work.is_queued:
         request_queues.dequeue(state, now_ms, work)
-    if work.offered_ms is None:
-        work.offered_ms = now_ms
+    if work.first_sent_ms is None:
+        work.first_sent_ms = now_ms
     concurrency_limit.start_hold(connection, now_ms)
     _assign(state, work, connection)
     outs = _tell_sent(state, now_ms, work, connection, after)
@@ -159,10 +159,10 @@
         proofs.request_proof(state, request.arrived_ms)
     if request.begins:
         commands = exchanges.begin_commands(connection, request, after)
-        errand = states.Errand.BEGINNING
+        errand = states.Purpose.BEGIN_TRANSACTION
     else:
         commands = exchanges.single_commands(connection, request, after)
-        errand = states.Errand.STATEMENT
+        errand = states.Purpose.STATEMENT
     outs.append(connections.send(connection, now_ms, errand, commands))
     return outs + member_queries.send_queries(state, now_ms)
 
@@ -179,12 +179,12 @@
     Of the ordinary ones a sample is told.
     """
     request = work.request
-    if not work.told and request.key % LOG_SAMPLE_INTERVAL:
+    if not work.is_traced and request.key % LOG_SAMPLE_INTERVAL:
         return []
-    work.told = True
+    work.is_traced = True
     upstream = state.upstreams[connection.upstream]
     return [
-        messages.Decided(
+        messages.LogDecision(
             'sent',
             request.statement.request_id,
             {
@@ -214,7 +214,7 @@
         connection.place_before = upstream.place
     work.running.add(connection.number)
     connection.work = work.request.key
-    connection.writing = work.request.writes
+    connection.is_writing = work.request.writes
 
 
 def continue_transaction(
@@ -230,9 +230,9 @@
     connection = state.connections[transaction.connection]
     commands = exchanges.adapt(connection, request)
     commands.append(exchanges.statement_command(request))
-    work.offered_ms = now_ms
+    work.first_sent_ms = now_ms
     _assign(state, work, connection)
-    errand = states.Errand.STATEMENT
+    errand = states.Purpose.STATEMENT
     sent = connections.send(connection, now_ms, errand, tuple(commands))
     return [sent]
 
@@ -244,7 +244,7 @@
     connection.transaction = 0
     rollback = (statements.Rollback(),)
     return [
-        connections.send(connection, now_ms, states.Errand.UNDOING, rollback)
+        connections.send(connection, now_ms, states.Purpose.ABORT, rollback)
     ]
 
 
@@ -274,9 +274,9 @@
     if chosen is None or not retries.spend(state.budget):
         return []
     work.hedges += 1
-    work.told = True
+    work.is_traced = True
     state.counters['hedged'] += 1
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'hedges',
         request.statement.request_id,
         {
--- a/topazring/core/synchronous/expiry.py
+++ b/topazring/core/synchronous/expiry.py
@@ -41,9 +41,9 @@
     for work in list(state.work.values()):
         if now_ms >= _ends_ms(work):
             outs += _too_late(state, now_ms, work)
-        elif work.ready is not None:
+        elif work.unproven_answer is not None:
             outs += _unproved(state, now_ms, work)
-        elif work.queued and work.primary_only:
+        elif work.is_queued and work.primary_only:
             outs += _hopeless(state, now_ms, work)
         elif work.running and _is_stranded(state, now_ms, work):
             outs += _let_go(state, now_ms, work, Reason.REPLACED)
@@ -81,7 +81,7 @@
         del state.transactions[key]
         state.counters['transaction_idle'] += 1
         inputs = {'upstream': connection.upstream, 'idle_ms': idle_ms}
-        outs.append(messages.Decided('transaction idle', inputs=inputs))
+        outs.append(messages.LogDecision('transaction idle', inputs=inputs))
         outs += dispatch.roll_back(state, now_ms, connection)
     return outs
 
@@ -90,7 +90,7 @@
     state: states.GroupState, now_ms: int, work: states.Work
 ) -> list:
     if completion.may_have_run(work):
-        unproven = work.ready is not None
+        unproven = work.unproven_answer is not None
         reason = Reason.UNPROVEN if unproven else Reason.UPSTREAM_TIMEOUT
         return completion.give_up(
             state, now_ms, work, reason, RETRY_MS, maybe_ran=True
@@ -139,14 +139,14 @@
     request = work.request
     if request.read_only or not (request.writes or request.transaction):
         return False
-    if not state.primary or state.primary != state.proven:
+    if not state.primary or state.primary != state.proven_primary:
         return False
     for number in work.running:
         connection = state.connections[number]
         upstream = state.upstreams.get(connection.upstream)
         if connection.upstream == state.primary:
             return False
-        heard_ms = 0 if upstream is None else upstream.heard_ms
+        heard_ms = 0 if upstream is None else upstream.last_received_ms
         if heard_ms > connection.sent_ms:
             return False
         if now_ms - connection.sent_ms < failure_detection.SILENT_MS:
@@ -208,16 +208,16 @@
     for connection in list(state.connections.values()):
         if connection.phase is states.Phase.IDLE:
             continue
-        waited_ms = now_ms - max(connection.sent_ms, state.woke_ms)
+        waited_ms = now_ms - max(connection.sent_ms, state.resumed_ms)
         if waited_ms < _patience(state, connection):
             continue
         outs.append(messages.Close(connection.number))
         outs.append(
-            messages.Decided(
+            messages.LogDecision(
                 'connection silent',
                 inputs={
                     'upstream': connection.upstream,
-                    'errand': str(connection.errand),
+                    'errand': str(connection.purpose),
                     'phase': str(connection.phase),
                     'for_ms': now_ms - connection.sent_ms,
                 },
@@ -231,7 +231,10 @@
 def _patience(state: states.GroupState, connection: states.Connection) -> int:
     if connection.phase is states.Phase.OPENING:
         return connections.DIAL_TIMEOUT_MS
-    if connection.errand in (states.Errand.GUARD, states.Errand.BEGINNING):
+    if connection.purpose in (
+        states.Purpose.LEADERSHIP_CHECK,
+        states.Purpose.BEGIN_TRANSACTION,
+    ):
         return SILENT_CHECK_MS
     if connection.work and connection.work not in state.work:
         return SILENT_ABANDONED_MS
--- a/topazring/core/synchronous/failure_detection.py
+++ b/topazring/core/synchronous/failure_detection.py
@@ -72,7 +72,7 @@
 
 def detect_loss(state: states.GroupState, now_ms: int) -> Loss | None:
     """Return the loss of the primary, None while it may be alive."""
-    if now_ms - state.woke_ms < RESUME_GRACE_MS and state.woke_ms:
+    if now_ms - state.resumed_ms < RESUME_GRACE_MS and state.resumed_ms:
         return None
     last = state.last_primary
     if state.primary in ('', last) and is_recreated(state, last):
@@ -128,10 +128,10 @@
         connection.sent_ms
         for connection in states.connections_to(state, upstream.name)
         if connection.phase is not states.Phase.IDLE
-        and connection.sent_ms > upstream.heard_ms
+        and connection.sent_ms > upstream.last_received_ms
     ]
-    if upstream.unheard_since_ms is not None:
-        asked.append(upstream.unheard_since_ms)
+    if upstream.unresponsive_since_ms is not None:
+        asked.append(upstream.unresponsive_since_ms)
     return min(asked, default=None)
 
 
@@ -189,7 +189,7 @@
     Places are those that replicas have applied, so that also looks like
     this when they apply late. Whoever takes it up looks first.
     """
-    if now_ms - state.looked_ms < STALL_RECHECK_MS:
+    if now_ms - state.replication_checked_ms < STALL_RECHECK_MS:
         return None
     if unanswered_since(state, upstream) is not None:
         # Whether it answers at all is to be seen first.
@@ -197,7 +197,7 @@
     before = freshness.position_at(state, now_ms - REPLICATION_STALLED_MS)
     if before is None:
         return None
-    replicas = states.others(state)
+    replicas = states.other_members(state)
     if not replicas or any(
         other.place >= before
         or now_ms - other.place_ms > REPLICATION_STALLED_MS
@@ -210,9 +210,9 @@
 
 def waits_for_replica(connection: states.Connection) -> bool:
     """Say whether a write or a COMMIT is under way on a connection."""
-    if connection.errand is not states.Errand.STATEMENT:
+    if connection.purpose is not states.Purpose.STATEMENT:
         return False
     last = connection.commands[-1]
     if isinstance(last, statements.Commit):
         return True
-    return connection.writing and not connection.transaction
+    return connection.is_writing and not connection.transaction
--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -135,7 +135,9 @@
 
 def is_final(request: messages.Request, outcome: outcomes.Outcome) -> bool:
     """Say whether a place's answer is the request's, wherever else it went."""
-    if request.goes_on or not isinstance(outcome, outcomes.NotRun):
+    if request.continues_transaction or not isinstance(
+        outcome, outcomes.NotRun
+    ):
         return True
     return outcome.reason not in FORWARDABLE_REASONS
 
@@ -145,7 +147,7 @@
 ) -> outcomes.Outcome | None:
     """Return the answer if a link that ended decides it."""
     commits = request.statement.verb is statements.Verb.COMMIT
-    if request.goes_on:
+    if request.continues_transaction:
         if commits and lost.sent:
             return outcomes.Unknown(Reason.OWNER_LOST)
         return outcomes.NotRun(Reason.TRANSACTION_LOST, 0)
--- a/topazring/core/synchronous/freshness.py
+++ b/topazring/core/synchronous/freshness.py
@@ -37,7 +37,7 @@
 
     Answers come on several connections and can overtake each other.
     """
-    state.departures.note_primary(sample.sent_ms, sample.place)
+    state.departed_members.record_primary_place(sample.sent_ms, sample.place)
     samples = state.samples
     if samples and sample.place < samples[-1].place:
         return
@@ -71,7 +71,7 @@
 def discard_samples(state: states.GroupState) -> None:
     """Trust no age: this process stood still, or its group began anew."""
     state.samples.clear()
-    state.pending.clear()
+    state.pending_samples.clear()
 
 
 def required_place(
--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -26,7 +26,13 @@
 from topazring.core.synchronous import results
 from topazring.core.synchronous import state as states
 
-__all__ = ['DUTY_PAUSE_MS', 'SYNCHRONOUS', 'TICK_MS', 'step', 'tick_ms']
+__all__ = [
+    'LEASE_RECHECK_PAUSE_MS',
+    'SYNCHRONOUS',
+    'TICK_MS',
+    'step',
+    'tick_interval_ms',
+]
 
 SYNCHRONOUS = 'synchronous'
 
@@ -42,7 +48,7 @@
 SEARCH_MS = 50
 # A third of the shortest lease: after a longer pause its holder asks whether
 # it still holds it.
-DUTY_PAUSE_MS = 1000
+LEASE_RECHECK_PAUSE_MS = 1000
 # A timer that fires so late means that this process did not run.
 PAUSE_MS = 200
 # Ticks are due so often: deadlines are met to within one while any request
@@ -57,11 +63,11 @@
 RESTING_TICK_MS = 200
 
 
-def tick_ms(state: states.GroupState) -> int:
+def tick_interval_ms(state: states.GroupState) -> int:
     """Return how soon a group's next tick is due."""
     if state.work:
         return BUSY_TICK_MS
-    if state.connections or state.holds_duty:
+    if state.connections or state.holds_promotion_lease:
         return TICK_MS
     return RESTING_TICK_MS
 
@@ -90,7 +96,7 @@
 _handles(messages.Submit)(arrival.submit)
 _handles(messages.Withdraw)(arrival.withdraw)
 _handles(messages.InstancesSeen)(connections.update_share)
-_handles(messages.DutySeen)(promotion_lease.handle_lease_change)
+_handles(messages.PromotionLeaseSeen)(promotion_lease.handle_lease_change)
 
 
 @_handles(messages.UpstreamsSeen)
@@ -115,16 +121,16 @@
     return promotion.tick(state, now_ms)
 
 
-@_handles(messages.Ordered)
+@_handles(messages.PromotionOrdered)
 def _ordered(
-    state: states.GroupState, now_ms: int, message: messages.Ordered
+    state: states.GroupState, now_ms: int, message: messages.PromotionOrdered
 ) -> list:
     return promotion_order.handle_order_result(state, now_ms, message)
 
 
-@_handles(messages.ListRead)
+@_handles(messages.UpstreamListRead)
 def _list_read(
-    state: states.GroupState, now_ms: int, message: messages.ListRead
+    state: states.GroupState, now_ms: int, message: messages.UpstreamListRead
 ) -> list:
     return promotion.handle_list_read(state, now_ms, message)
 
@@ -154,7 +160,7 @@
     connection = state.connections.get(message.connection)
     if connection is None:
         return []
-    if connection.errand is states.Errand.CONTROL:
+    if connection.purpose is states.Purpose.CONTROL:
         outs = _control_replied(state, now_ms, connection, message)
     else:
         outs = results.handle_replies(state, now_ms, connection, message)
@@ -226,13 +232,13 @@
     back.
     """
     if isinstance(message, messages.Tick):
-        state.ticked_ms = now_ms
+        state.last_tick_ms = now_ms
         return []
-    silent_ms = now_ms - state.ticked_ms
-    usual_ms = max(TICK_MS, tick_ms(state))
-    if not state.ticked_ms or silent_ms < PAUSE_MS + usual_ms:
+    silent_ms = now_ms - state.last_tick_ms
+    usual_ms = max(TICK_MS, tick_interval_ms(state))
+    if not state.last_tick_ms or silent_ms < PAUSE_MS + usual_ms:
         return []
-    state.ticked_ms = now_ms
+    state.last_tick_ms = now_ms
     return _wake(state, now_ms, silent_ms)
 
 
@@ -242,17 +248,17 @@
     The duty least of all: another proxy has promoted meanwhile if its lease
     ran out, and demoting that one's choice would leave nobody to lead.
     """
-    state.woke_ms = now_ms
+    state.resumed_ms = now_ms
     outs: list = []
-    if paused_ms >= DUTY_PAUSE_MS:
+    if paused_ms >= LEASE_RECHECK_PAUSE_MS:
         outs = promotion_lease.handle_lease_change(
-            state, now_ms, messages.DutySeen(False)
+            state, now_ms, messages.PromotionLeaseSeen(False)
         )
     freshness.discard_samples(state)
     for upstream in state.upstreams.values():
-        upstream.unheard_since_ms = None
+        upstream.unresponsive_since_ms = None
         upstream.failed_dials = 0
-    woke = messages.Decided('woke', inputs={'paused_ms': paused_ms})
+    woke = messages.LogDecision('woke', inputs={'paused_ms': paused_ms})
     return [woke, *outs]
 
 
@@ -264,17 +270,21 @@
     searching = searching or proofs.is_leadership_unproven(state, now_ms)
     if searching:
         period_ms = SEARCH_MS
-    elif state.holds_duty:
+    elif state.holds_promotion_lease:
         period_ms = HEARTBEAT_MS
     else:
         period_ms = SAMPLE_MS
-    if now_ms - state.guarded_ms < period_ms:
+    if now_ms - state.leadership_checked_ms < period_ms:
         return []
     newest_ms = freshness.newest_sample_ms(state)
-    if not searching and not state.holds_duty and newest_ms is not None:
+    if (
+        not searching
+        and not state.holds_promotion_lease
+        and newest_ms is not None
+    ):
         if now_ms - newest_ms < period_ms:
             return []
-    state.guarded_ms = now_ms
+    state.leadership_checked_ms = now_ms
     names = list(state.upstreams)
     if not searching and not _asks_all(state, now_ms):
         names = [state.primary]
@@ -295,11 +305,11 @@
     has to see whether they follow: they refuse the guard and say their place
     with the refusal, and that takes no slot.
     """
-    if not state.holds_duty:
+    if not state.holds_promotion_lease:
         return True
-    if now_ms - state.followed_ms < FOLLOW_MS:
+    if now_ms - state.replicas_checked_ms < FOLLOW_MS:
         return False
-    state.followed_ms = now_ms
+    state.replicas_checked_ms = now_ms
     return True
 
 
@@ -308,16 +318,16 @@
     if upstream is None:
         return []
     outs: list = []
-    if state.holds_duty and failure_detection.needs_dial(
+    if state.holds_promotion_lease and failure_detection.needs_dial(
         state, now_ms, upstream
     ):
         outs += connections.dial_beyond_share(state, now_ms, name)
     return outs + member_queries.send_leadership_check(state, now_ms, upstream)
 
 
-@_handles(messages.Abandon)
+@_handles(messages.Shutdown)
 def _abandon(
-    state: states.GroupState, now_ms: int, message: messages.Abandon
+    state: states.GroupState, now_ms: int, message: messages.Shutdown
 ) -> list:
     outs: list = []
     for work in list(state.work.values()):
--- a/topazring/core/synchronous/isolation.py
+++ b/topazring/core/synchronous/isolation.py
@@ -32,7 +32,7 @@
 def update(state: states.GroupState, now_ms: int) -> list:
     """Take in whether this proxy is cut off with the primary."""
     if state.isolated_with and not _holds(state, now_ms):
-        decided = messages.Decided(
+        decided = messages.LogDecision(
             'isolation ended', inputs={'primary': state.primary}
         )
         state.isolated_with = ''
@@ -43,7 +43,7 @@
     state.isolated_since_ms = now_ms
     state.counters['isolated'] += 1
     inputs = {'primary': state.primary, 'term': state.term}
-    return [messages.Decided('isolated with the primary', inputs=inputs)]
+    return [messages.LogDecision('isolated with the primary', inputs=inputs)]
 
 
 def is_probing(state: states.GroupState, now_ms: int) -> bool:
@@ -64,7 +64,9 @@
     since_ms = failure_detection.writes_hanging_since(state, state.primary)
     if since_ms is not None and now_ms - since_ms >= HANGING_MS:
         return True
-    return any(not replica.vouches for replica in states.others(state))
+    return any(
+        not replica.is_established for replica in states.other_members(state)
+    )
 
 
 def _holds(state: states.GroupState, now_ms: int) -> bool:
@@ -77,7 +79,7 @@
     if state.primary not in state.upstreams:
         return False
     return all(
-        replica.heard_ms <= state.isolated_since_ms
-        for replica in states.others(state)
-        if replica.vouches
+        replica.last_received_ms <= state.isolated_since_ms
+        for replica in states.other_members(state)
+        if replica.is_established
     )
--- a/topazring/core/synchronous/listing.py
+++ b/topazring/core/synchronous/listing.py
@@ -50,7 +50,7 @@
     """Hold an upstream's own entry and the service that it serves."""
 
     service: str
-    upstream: messages.Listed
+    upstream: messages.ListedUpstream
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -191,7 +191,7 @@
 
 def upstreams_of(
     listing: Listing, now_ms: int, service: str
-) -> tuple[messages.Listed, ...]:
+) -> tuple[messages.ListedUpstream, ...]:
     """Return a service's upstreams."""
     found = []
     for key, record in listing.upstreams.items():
--- a/topazring/core/synchronous/member_queries.py
+++ b/topazring/core/synchronous/member_queries.py
@@ -41,11 +41,11 @@
     if not state.primary:
         return []
     outs = _ask_holders(state, now_ms)
-    if proofs.proven_until_ms(state) >= state.wanted_ms:
+    if proofs.proven_until_ms(state) >= state.newest_needed_ms:
         return outs
-    others = states.others(state)
+    others = states.other_members(state)
     for upstream in others:
-        if upstream.asked_ms >= state.wanted_ms:
+        if upstream.asked_ms >= state.newest_needed_ms:
             continue
         outs += send_leadership_check(state, now_ms, upstream)
     return outs + _ask_witnesses(state, now_ms, others)
@@ -58,8 +58,8 @@
     free = states.idle_connections(state, upstream.name)
     if not free:
         return []
-    upstream.asked_ms = upstream.report_asked_ms = now_ms
-    errand = states.Errand.LOOK
+    upstream.asked_ms = upstream.status_asked_ms = now_ms
+    errand = states.Purpose.STATUS_QUERY
     return [connections.send(free[0], now_ms, errand, exchanges.STATUS_QUERY)]
 
 
@@ -71,7 +71,7 @@
     if not free:
         return []
     upstream.asked_ms = now_ms
-    errand = states.Errand.GUARD
+    errand = states.Purpose.LEADERSHIP_CHECK
     return [
         connections.send(free[0], now_ms, errand, exchanges.LEADERSHIP_CHECK)
     ]
@@ -83,14 +83,14 @@
     if not waiting:
         return []
     newest_ms = max(confirmation.confirmed_ms for confirmation in waiting)
-    asked = states.others(state)
+    asked = states.other_members(state)
     if any(c.upstream != state.primary for c in waiting):
         # Whoever leads now may have begun with the write.
         asked.append(state.upstreams[state.primary])
     outs = []
     for upstream in asked:
-        is_asked = upstream.report_asked_ms >= newest_ms
-        if is_asked and now_ms - upstream.report_asked_ms < HOLDER_INTERVAL_MS:
+        is_asked = upstream.status_asked_ms >= newest_ms
+        if is_asked and now_ms - upstream.status_asked_ms < HOLDER_INTERVAL_MS:
             continue
         if not proofs.is_unreachable(state, now_ms, upstream):
             outs += _ask_report(state, now_ms, upstream)
@@ -101,13 +101,13 @@
     state: states.GroupState, now_ms: int, late: list[states.Upstream]
 ) -> bool:
     """Say whether a member is silent that somebody waits for."""
-    if not late or state.doubted_ms is None:
+    if not late or state.oldest_unproven_ms is None:
         return False
-    waited_for = state.held or _needs_sample(state, now_ms)
+    waited_for = state.awaiting_proof or _needs_sample(state, now_ms)
     # In doubt reads are refused, so none waits that would have it asked.
     if not waited_for and not proofs.is_leadership_unproven(state, now_ms):
         return False
-    if now_ms - state.doubted_ms >= SILENT_MS:
+    if now_ms - state.oldest_unproven_ms >= SILENT_MS:
         return True
     return not all(
         connections.has_usable_connection(state, u.name) for u in late
@@ -125,20 +125,26 @@
     others: list[states.Upstream],
 ) -> list[messages.Send]:
     """Ask the replicas that answer for their terms, if one is silent."""
-    late = [u for u in others if u.refused_sent_ms < state.wanted_ms]
+    late = [
+        u for u in others if u.begin_refused_sent_ms < state.newest_needed_ms
+    ]
     if not _is_silent(state, now_ms, late):
         return []
-    gap_ms = WITNESS_INTERVAL_MS if state.held else WITNESS_SAMPLE_INTERVAL_MS
+    gap_ms = (
+        WITNESS_INTERVAL_MS
+        if state.awaiting_proof
+        else WITNESS_SAMPLE_INTERVAL_MS
+    )
     outs = []
     for upstream in others:
-        if upstream.witness_sent_ms >= state.wanted_ms:
+        if upstream.witness_sent_ms >= state.newest_needed_ms:
             continue
         if now_ms - upstream.witness_asked_ms < gap_ms:
             continue
         free = states.idle_connections(state, upstream.name)
         if free and not proofs.is_unreachable(state, now_ms, upstream):
             upstream.witness_asked_ms = now_ms
-            errand = states.Errand.LOOK
+            errand = states.Purpose.STATUS_QUERY
             status = (statements.Status(),)
             outs.append(connections.send(free[0], now_ms, errand, status))
     return outs
--- a/topazring/core/synchronous/member_replies.py
+++ b/topazring/core/synchronous/member_replies.py
@@ -98,12 +98,12 @@
     inputs = {
         'upstream': name,
         'received': str(report.received),
-        'listed_for_ms': now_ms - state.upstreams[name].come_ms,
+        'listed_for_ms': now_ms - state.upstreams[name].first_listed_ms,
         'began_ms_ago': now_ms - attempt.began_ms,
         'chosen': attempt.chosen,
         'token': attempt.token,
     }
-    return [messages.Decided('member paused', inputs=inputs)]
+    return [messages.LogDecision('member paused', inputs=inputs)]
 
 
 def _demoted(
--- a/topazring/core/synchronous/membership.py
+++ b/topazring/core/synchronous/membership.py
@@ -60,7 +60,7 @@
     if state.promotion is not None:
         paused_at = attempts.paused_log_end(state.promotion, now_ms, name)
         attempts.forget_member(state.promotion, name)
-    state.departures.add(
+    state.departed_members.add(
         now_ms,
         name,
         upstream.leaving or for_good,
@@ -68,13 +68,15 @@
         upstream.born_ms,
     )
     state.paused.discard(name)
-    outs: list = [messages.Decided('upstream gone', inputs={'upstream': name})]
+    outs: list = [
+        messages.LogDecision('upstream gone', inputs={'upstream': name})
+    ]
     outs += connections.close_idle(state, name)
     return outs
 
 
 def _come(
-    state: states.GroupState, now_ms: int, entry: messages.Listed
+    state: states.GroupState, now_ms: int, entry: messages.ListedUpstream
 ) -> list:
     upstream = states.Upstream(
         entry.name,
@@ -84,15 +86,15 @@
         entry.revision,
         entry.born_ms,
     )
-    upstream.come_ms = now_ms
+    upstream.first_listed_ms = now_ms
     # The first list names those that were there before this process.
-    upstream.vouches = now_ms == state.listed_ms
-    upstream.began_again = state.departures.has_departed(entry.name)
+    upstream.is_established = now_ms == state.listed_ms
+    upstream.is_recreated = state.departed_members.has_departed(entry.name)
     state.upstreams[entry.name] = upstream
-    state.departures.remove(entry.name, entry.born_ms)
+    state.departed_members.remove(entry.name, entry.born_ms)
     _note_leaving(state, now_ms, upstream, entry)
     return [
-        messages.Decided(
+        messages.LogDecision(
             'upstream come',
             inputs={
                 'upstream': entry.name,
@@ -108,7 +110,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    entry: messages.Listed,
+    entry: messages.ListedUpstream,
 ) -> list:
     outs: list = []
     if entry.address != upstream.address:
@@ -124,7 +126,7 @@
             upstream.refuted_ms = None
             upstream.claimed_ms = now_ms
         outs.append(
-            messages.Decided(
+            messages.LogDecision(
                 'upstream changed part',
                 inputs={
                     'upstream': entry.name,
@@ -136,7 +138,7 @@
     if entry.leaving != upstream.leaving:
         _note_leaving(state, now_ms, upstream, entry)
         outs.append(
-            messages.Decided(
+            messages.LogDecision(
                 'upstream leaves' if entry.leaving else 'upstream stays',
                 inputs={
                     'upstream': entry.name,
@@ -151,7 +153,7 @@
     state: states.GroupState,
     now_ms: int,
     upstream: states.Upstream,
-    entry: messages.Listed,
+    entry: messages.ListedUpstream,
 ) -> None:
     upstream.leaving = entry.leaving
     if not entry.leaving:
--- a/topazring/core/synchronous/messages.py
+++ b/topazring/core/synchronous/messages.py
@@ -9,23 +9,23 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'Abandon',
+    'Shutdown',
     'Answer',
     'Close',
     'Closed',
-    'Decided',
-    'DutySeen',
+    'LogDecision',
+    'PromotionLeaseSeen',
     'Freshness',
     'InstancesSeen',
-    'ListRead',
-    'Listed',
+    'UpstreamListRead',
+    'ListedUpstream',
     'Open',
     'Opened',
-    'Order',
+    'OrderPromotion',
     'OrderResult',
-    'Ordered',
+    'PromotionOrdered',
     'Policy',
-    'ReadList',
+    'ReadUpstreamList',
     'Replied',
     'Request',
     'Send',
@@ -33,7 +33,7 @@
     'Tick',
     'UpstreamsSeen',
     'Withdraw',
-    'YieldDuty',
+    'YieldPromotionLease',
 ]
 
 
@@ -90,7 +90,7 @@
     prepared: statements.Prepare | None = None
 
     @property
-    def goes_on(self) -> bool:
+    def continues_transaction(self) -> bool:
         """Say whether an upstream has its transaction open already."""
         return self.transaction != 0 and not self.begins
 
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class ListedUpstream:
     """Hold one upstream as the platform lists it."""
 
     name: str
@@ -172,7 +172,7 @@
 class UpstreamsSeen:
     """Report the whole list of the group's upstreams."""
 
-    upstreams: tuple[Listed, ...]
+    upstreams: tuple[ListedUpstream, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -188,7 +188,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySeen:
+class PromotionLeaseSeen:
     """Report whether this proxy is the one that may promote.
 
     `token` is the lowest of the tokens that are its alone to use.
@@ -209,7 +209,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ListRead:
+class UpstreamListRead:
     """Report that the list was read anew, and its news were told before."""
 
     token: int
@@ -218,7 +218,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ordered:
+class PromotionOrdered:
     """Report what became of an order to promote."""
 
     upstream: str
@@ -234,7 +234,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Abandon:
+class Shutdown:
     """Answer all that is in hand and close every connection."""
 
 
@@ -274,7 +274,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class OrderPromotion:
     """Have the platform promote an upstream."""
 
     upstream: str
@@ -282,21 +282,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadList:
+class ReadUpstreamList:
     """Read anew which upstreams are listed; `ListRead` follows the news."""
 
     token: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class YieldDuty:
+class YieldPromotionLease:
     """Let another proxy have the duty: this one cannot reach the group."""
 
     why: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Decided:
+class LogDecision:
     """Tell the log what was decided, on what grounds.
 
     `inputs` are plain values: names, places, ages in milliseconds. They
--- a/topazring/core/synchronous/known_places.py
+++ b/topazring/core/synchronous/position_records.py
@@ -4,11 +4,11 @@
 
 from topazring.core import log_positions
 
-__all__ = ['Confirmation', 'Start']
+__all__ = ['Confirmation', 'PrimaryStart']
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class PrimaryStart:
     """Bind a primary to a place: all that it began with is at or before it."""
 
     upstream: str = ''
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -12,8 +12,8 @@
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import primary_availability
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
@@ -41,8 +41,8 @@
     place: log_positions.LogPosition | None,
 ) -> None:
     """Take in where an upstream's log stands."""
-    upstream.heard_ms = now_ms
-    upstream.unheard_since_ms = None
+    upstream.last_received_ms = now_ms
+    upstream.unresponsive_since_ms = None
     upstream.failed_dials = 0
     if place is None:
         return
@@ -60,7 +60,9 @@
 ) -> list:
     """Take in that an upstream took a transaction that was sent then."""
     upstream.refuted_ms = None
-    upstream.took_sent_ms = max(upstream.took_sent_ms, sent_ms)
+    upstream.begin_accepted_sent_ms = max(
+        upstream.begin_accepted_sent_ms, sent_ms
+    )
     if not proofs.leads_newest_term(state, upstream):
         _question(state, upstream, sent_ms)
         return []
@@ -70,8 +72,8 @@
     if not _claims(state, now_ms, rival):
         return _accept(state, now_ms, upstream)
     if not upstream.lead_term or not rival.lead_term:
-        upstream.in_question = not upstream.lead_term
-        rival.in_question = not rival.lead_term
+        upstream.has_pending_claim = not upstream.lead_term
+        rival.has_pending_claim = not rival.lead_term
         return []
     if _rank(upstream) > _rank(rival):
         return _accept(state, now_ms, upstream)
@@ -93,14 +95,14 @@
     """Count an upstream, when it was asked, as one that does not lead."""
     proofs.note_refusal(upstream, sent_ms)
     upstream.claimed_ms = states.NEVER_MS
-    upstream.to_depose = True
+    upstream.needs_demotion = True
 
 
 def _claims(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> bool:
     """Say whether an upstream may still lead in its own eyes."""
-    if upstream.refuted_ms is not None or not upstream.heard_ms:
+    if upstream.refuted_ms is not None or not upstream.last_received_ms:
         return False
     return failure_detection.detect_silence(state, now_ms, upstream) is None
 
@@ -108,16 +110,18 @@
 def _accept(
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
-    if not state.proven:
-        state.departures.begin(now_ms, upstream.place)
-    elif state.proven != upstream.name:
+    if not state.proven_primary:
+        state.departed_members.record_first_place(now_ms, upstream.place)
+    elif state.proven_primary != upstream.name:
         # A new primary began with all that had been acknowledged before.
         state.acknowledged = max(state.acknowledged, upstream.place)
-    if state.proven != upstream.name:
-        state.proven = upstream.name
+    if state.proven_primary != upstream.name:
+        state.proven_primary = upstream.name
         state.proven_ms = now_ms
-    if state.start.upstream != upstream.name:
-        state.start = known_places.Start(upstream.name, upstream.place)
+    if state.primary_start.upstream != upstream.name:
+        state.primary_start = position_records.PrimaryStart(
+            upstream.name, upstream.place
+        )
     if state.primary == upstream.name:
         return []
     return _lead(state, now_ms, upstream, 'it took a transaction')
@@ -128,7 +132,7 @@
 ) -> None:
     """Take in the claim of one that leads an old term, as far as is known."""
     # Its word on its term may be older than its lead.
-    upstream.in_question = True
+    upstream.has_pending_claim = True
     leader = state.upstreams.get(state.primary)
     if leader is None or not upstream.lead_term:
         return
@@ -144,9 +148,9 @@
     """
     outs: list = []
     for upstream in state.upstreams.values():
-        if upstream.to_depose:
+        if upstream.needs_demotion:
             outs += _depose(state, now_ms, upstream)
-        if upstream.in_question:
+        if upstream.has_pending_claim:
             outs += _ask_term(state, now_ms, upstream)
     return outs
 
@@ -155,10 +159,10 @@
     state: states.GroupState, now_ms: int, upstream: states.Upstream
 ) -> list:
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.questioned_ms < TERM_QUERY_INTERVAL_MS:
+    if not free or now_ms - upstream.claim_checked_ms < TERM_QUERY_INTERVAL_MS:
         return []
-    upstream.questioned_ms = now_ms
-    errand = states.Errand.LOOK
+    upstream.claim_checked_ms = now_ms
+    errand = states.Purpose.STATUS_QUERY
     return [connections.send(free[0], now_ms, errand, (statements.Status(),))]
 
 
@@ -167,14 +171,14 @@
 ) -> list:
     leader = state.upstreams.get(state.primary)
     if leader is None or _rank(leader) <= _rank(upstream):
-        upstream.to_depose = False
+        upstream.needs_demotion = False
         return []
     free = states.idle_connections(state, upstream.name)
-    if not free or now_ms - upstream.deposed_ms < DEMOTE_RETRY_MS:
+    if not free or now_ms - upstream.demotion_sent_ms < DEMOTE_RETRY_MS:
         return []
-    upstream.to_depose = False
-    upstream.deposed_ms = now_ms
-    decided = messages.Decided(
+    upstream.needs_demotion = False
+    upstream.demotion_sent_ms = now_ms
+    decided = messages.LogDecision(
         'deposes a replaced primary',
         inputs={
             'upstream': upstream.name,
@@ -184,7 +188,7 @@
         },
     )
     demote = (statements.Demote(leader.lead_term),)
-    errand = states.Errand.LOOK
+    errand = states.Purpose.STATUS_QUERY
     return [decided, connections.send(free[0], now_ms, errand, demote)]
 
 
@@ -196,7 +200,7 @@
     report: statements.StatusReport,
 ) -> list:
     """Take in an upstream's own word on its part and term."""
-    upstream.in_question = False
+    upstream.has_pending_claim = False
     confirmations.note_report(upstream, sent_ms, report)
     proofs.note_report(state, upstream, sent_ms, report)
     if report.role is statements.Role.REPLICA:
@@ -211,7 +215,7 @@
     upstream.refuted_ms = now_ms
     upstream.lead_term = 0
     upstream.claimed_ms = states.NEVER_MS
-    upstream.in_question = False
+    upstream.has_pending_claim = False
     if state.primary != upstream.name:
         return []
     state.primary = ''
@@ -219,7 +223,7 @@
     _forget_proofs(state)
     # A list that is newer than the refusal may name the next one already.
     return [
-        messages.Decided(
+        messages.LogDecision(
             'primary deposed', inputs={'upstream': upstream.name}
         ),
         *adopt_listed_primary(state, now_ms),
@@ -228,10 +232,10 @@
 
 def _forget_proofs(state: states.GroupState) -> None:
     """Want no proof any more of the lead of one that leads no more."""
-    state.pending.clear()
-    state.wanted_ms = states.NEVER_MS
-    state.doubted_ms = None
-    state.unsure_ms = states.NEVER_MS
+    state.pending_samples.clear()
+    state.newest_needed_ms = states.NEVER_MS
+    state.oldest_unproven_ms = None
+    state.unproven_write_ms = states.NEVER_MS
 
 
 def adopt_listed_primary(state: states.GroupState, now_ms: int) -> list:
@@ -250,7 +254,10 @@
     if current is not None:
         if newest.listed_revision <= current.listed_revision:
             return []
-        if _claims(state, now_ms, current) and current.took_sent_ms > 0:
+        if (
+            _claims(state, now_ms, current)
+            and current.begin_accepted_sent_ms > 0
+        ):
             # It takes transactions: terms decide, once both are asked. An
             # entry says what its writer believes, and may be late.
             proofs.request_proof(state, now_ms)
@@ -269,8 +276,8 @@
         return []
     lost_ms = primary_availability.lost_since(state, now_ms)
     state.primary = upstream.name
-    state.led_ms = now_ms
-    state.departures.note_lead(upstream.name)
+    state.primary_since_ms = now_ms
+    state.departed_members.record_leader(upstream.name)
     if upstream.name != state.last_primary:
         state.successor_gone = False
     state.last_primary = upstream.name
@@ -280,7 +287,7 @@
     if lost_ms is not None:
         primary_availability.note_outage(state, now_ms - lost_ms)
     return [
-        messages.Decided(
+        messages.LogDecision(
             'primary',
             inputs={
                 'upstream': upstream.name,
--- a/topazring/core/synchronous/primary_availability.py
+++ b/topazring/core/synchronous/primary_availability.py
@@ -69,9 +69,9 @@
         if needs_proof and proofs.is_leadership_unproven(state, now_ms):
             return outcomes.NotRun(Reason.UNPROVEN, OTHER_PROXY_RETRY_MS)
         return None
-    if now_ms - since_ms > state.gap_ms * OVERDUE_FACTOR:
+    if now_ms - since_ms > state.typical_outage_ms * OVERDUE_FACTOR:
         return outcomes.NotRun(Reason.NO_PRIMARY, OTHER_PROXY_RETRY_MS)
-    back_ms = since_ms + int(state.gap_ms)
+    back_ms = since_ms + int(state.typical_outage_ms)
     if back_ms > work.deadline_ms:
         return outcomes.NotRun(Reason.NO_PRIMARY, back_ms - now_ms)
     return None
@@ -94,4 +94,6 @@
 def note_outage(state: states.GroupState, gap_ms: int) -> None:
     """Learn from a gap that ended."""
     gap_ms = min(MAX_OUTAGE_MS, max(MIN_OUTAGE_MS, gap_ms))
-    state.gap_ms += (gap_ms - state.gap_ms) * OUTAGE_WEIGHT
+    state.typical_outage_ms += (
+        gap_ms - state.typical_outage_ms
+    ) * OUTAGE_WEIGHT
--- a/topazring/core/synchronous/promotion.py
+++ b/topazring/core/synchronous/promotion.py
@@ -22,8 +22,8 @@
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import confirmations
 from topazring.core.synchronous import failure_detection
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import promotion_commands
 from topazring.core.synchronous import promotion_end
 from topazring.core.synchronous import promotion_lease
@@ -43,7 +43,7 @@
 
 def tick(state: states.GroupState, now_ms: int) -> list:
     """Begin, go on with, or end an attempt; resume who was paused."""
-    if not state.holds_duty:
+    if not state.holds_promotion_lease:
         return []
     attempt = state.promotion
     if attempt is not None:
@@ -66,13 +66,13 @@
 
 def _yield_to_another(state: states.GroupState) -> list:
     """Leave the duty to whoever paused the members of the group."""
-    state.holds_duty = False
+    state.holds_promotion_lease = False
     state.promotion = None
     state.counters['promotion_left_to_another'] += 1
     paused = {u.name: u.held_term for u in state.upstreams.values()}
     inputs = {'term': state.term, 'held_terms': paused}
-    decided = messages.Decided('another promotes', inputs=inputs)
-    return [decided, messages.YieldDuty('another promotes')]
+    decided = messages.LogDecision('another promotes', inputs=inputs)
+    return [decided, messages.YieldPromotionLease('another promotes')]
 
 
 def _heir(state: states.GroupState, now_ms: int) -> str:
@@ -92,7 +92,9 @@
         for upstream in staying
         if not proofs.is_unreachable(state, now_ms, upstream)
     ]
-    ahead = max(reached or staying, key=lambda u: (u.place, u.vouches, u.name))
+    ahead = max(
+        reached or staying, key=lambda u: (u.place, u.is_established, u.name)
+    )
     return ahead.name
 
 
@@ -117,7 +119,7 @@
         'promotion considered' if attempt.is_query_only else 'promotion begins'
     )
     state.counters[what.replace(' ', '_')] += 1
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         what,
         inputs={
             'old': old,
@@ -166,7 +168,7 @@
 
 
 def handle_list_read(
-    state: states.GroupState, now_ms: int, message: messages.ListRead
+    state: states.GroupState, now_ms: int, message: messages.UpstreamListRead
 ) -> list:
     """Take in that all who are listed are known."""
     attempt = state.promotion
@@ -223,7 +225,7 @@
         'token': attempt.token,
         'since_ms': now_ms - attempt.since_ms,
     }
-    decided = messages.Decided('promotion begins', inputs=inputs)
+    decided = messages.LogDecision('promotion begins', inputs=inputs)
     return [decided, *promotion_commands.send_commands(state, now_ms, attempt)]
 
 
@@ -236,7 +238,9 @@
     if leads and (leads != attempt.old_primary or renewed):
         if leads == attempt.chosen != attempt.successor:
             # An heir received more after it was chosen.
-            state.start = known_places.Start(leads, attempt.chosen_position)
+            state.primary_start = position_records.PrimaryStart(
+                leads, attempt.chosen_position
+            )
         state.successor_gone = False
         return promotion_end.finish(state, now_ms, attempt, 'succeeded')
     if attempt.successor_gone:
@@ -277,7 +281,7 @@
                 state, now_ms, attempt, 'lost meanwhile'
             )
         return None
-    alive = old.heard_ms > attempt.began_ms
+    alive = old.last_received_ms > attempt.began_ms
     if attempt.unconfirmed:
         alive = old.confirmed_ms > attempt.began_ms
     if alive and leads == attempt.old_primary:
@@ -316,7 +320,7 @@
             attempt.demoting_since_ms = now_ms
             attempts.forget_reports(attempt)
             inputs = {'old': attempt.old_primary, 'heir': attempt.successor}
-            decided = messages.Decided('hand-over blocked', inputs=inputs)
+            decided = messages.LogDecision('hand-over blocked', inputs=inputs)
             return [
                 decided,
                 *promotion_commands.send_commands(state, now_ms, attempt),
--- a/topazring/core/synchronous/promotion_commands.py
+++ b/topazring/core/synchronous/promotion_commands.py
@@ -68,7 +68,7 @@
     """Send one command, on a new connection where none is free."""
     free = states.idle_connections(state, upstream)
     if free:
-        errand = states.Errand.CONTROL
+        errand = states.Purpose.CONTROL
         return [connections.send(free[0], now_ms, errand, (command,))]
     return connections.dial_beyond_share(state, now_ms, upstream)
 
@@ -76,7 +76,7 @@
 def resume_paused(state: states.GroupState, now_ms: int) -> list:
     """Have every replica receive again that an attempt had paused."""
     outs: list = []
-    if not state.primary or state.unfenced:
+    if not state.primary or state.needs_fencing:
         # An earlier holder's order may still be carried out, and what it
         # paused is all that keeps its choice safe.
         return outs
@@ -86,7 +86,7 @@
             state.paused.discard(name)
             continue
         under_way = any(
-            connection.errand is states.Errand.CONTROL
+            connection.purpose is states.Purpose.CONTROL
             for connection in states.connections_to(state, name)
         )
         if not under_way:
--- a/topazring/core/synchronous/promotion_end.py
+++ b/topazring/core/synchronous/promotion_end.py
@@ -20,11 +20,11 @@
     state.promotion = None
     state.next_promotion_ms = now_ms
     if attempt.is_query_only:
-        state.looked_ms = now_ms
+        state.replication_checked_ms = now_ms
     if how not in IMMEDIATE_RETRY:
         state.next_promotion_ms += RETRY_DELAY_MS
     state.counters['promotion_' + how.replace(' ', '_')] += 1
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'promotion ended',
         inputs={
             'how': how,
@@ -40,9 +40,9 @@
         return outs
     # On the wrong side of a partition: another may reach them.
     if not _heard_any(attempt):
-        outs.append(messages.YieldDuty('no replica can be reached'))
+        outs.append(messages.YieldPromotionLease('no replica can be reached'))
     elif attempt.list_read_ms is None and not attempt.is_query_only:
-        outs.append(messages.YieldDuty('the list cannot be read'))
+        outs.append(messages.YieldPromotionLease('the list cannot be read'))
     return outs
 
 
--- a/topazring/core/synchronous/promotion_lease.py
+++ b/topazring/core/synchronous/promotion_lease.py
@@ -20,15 +20,15 @@
 
 
 def handle_lease_change(
-    state: states.GroupState, now_ms: int, message: messages.DutySeen
+    state: states.GroupState, now_ms: int, message: messages.PromotionLeaseSeen
 ) -> list:
     """Take in whether this proxy may promote, and from which token on.
 
     A holder that died may have left replicas paused; its successor resumes
     all that do not lead.
     """
-    gained = message.holds and not state.holds_duty
-    state.holds_duty = message.holds
+    gained = message.holds and not state.holds_promotion_lease
+    state.holds_promotion_lease = message.holds
     if message.holds:
         state.token = max(state.token, message.token)
     else:
@@ -36,7 +36,7 @@
     if gained:
         state.fence_token = 0
         state.paused = set(state.upstreams) - {state.primary}
-        state.unfenced = True
+        state.needs_fencing = True
     return []
 
 
@@ -51,7 +51,8 @@
     """
     return any(
         upstream.held_term > state.term
-        and now_ms - upstream.reported_sent_ms <= PAUSE_REPORT_MAX_AGE_MS
+        and now_ms - upstream.answered_status_sent_ms
+        <= PAUSE_REPORT_MAX_AGE_MS
         and upstream.name not in state.paused
         for upstream in state.upstreams.values()
     )
@@ -67,26 +68,30 @@
     an old proof it would bring a replaced primary back, without what its
     successor acknowledged.
     """
-    wanted = state.holds_duty and state.unfenced and state.promotion is None
+    wanted = (
+        state.holds_promotion_lease
+        and state.needs_fencing
+        and state.promotion is None
+    )
     if not wanted or state.fence_token:
         return []
     if now_ms - proofs.proven_until_ms(state) > PROOF_MAX_AGE_MS:
         return []
     primary = state.upstreams[state.primary]
-    if now_ms - primary.took_sent_ms > PROOF_MAX_AGE_MS:
+    if now_ms - primary.begin_accepted_sent_ms > PROOF_MAX_AGE_MS:
         return []
     state.token += 1
     state.fence_token = state.token
-    return [messages.Order(state.primary, state.token)]
+    return [messages.OrderPromotion(state.primary, state.token)]
 
 
 def handle_fence_result(
-    state: states.GroupState, message: messages.Ordered
+    state: states.GroupState, message: messages.PromotionOrdered
 ) -> list:
     """Take in the answer to an order that was to fence."""
     state.fence_token = 0
     if message.result is messages.OrderResult.ACCEPTED:
-        state.unfenced = False
+        state.needs_fencing = False
     elif message.result is messages.OrderResult.REFUSED:
-        state.holds_duty = False
+        state.holds_promotion_lease = False
     return []
--- a/topazring/core/synchronous/promotion_order.py
+++ b/topazring/core/synchronous/promotion_order.py
@@ -28,7 +28,7 @@
     if attempts.has_fresh_list(attempt, now_ms):
         return []
     attempt.is_reading_list = True
-    return [messages.ReadList(attempt.token)]
+    return [messages.ReadUpstreamList(attempt.token)]
 
 
 def order_promotion(
@@ -44,7 +44,7 @@
     attempt.chosen_position = attempt.reports[chosen].received
     attempt.ordered_ms = now_ms
     attempt.is_order_pending = True
-    decided = messages.Decided(
+    decided = messages.LogDecision(
         'promotion ordered',
         inputs={
             'old': attempt.old_primary,
@@ -55,13 +55,13 @@
                 for name, report in attempt.reports.items()
             },
             'listed_for_ms': {
-                name: now_ms - upstream.come_ms
+                name: now_ms - upstream.first_listed_ms
                 for name, upstream in state.upstreams.items()
             },
             'after_ms': now_ms - attempt.began_ms,
         },
     )
-    return [decided, messages.Order(chosen, attempt.token)]
+    return [decided, messages.OrderPromotion(chosen, attempt.token)]
 
 
 def resend_order(
@@ -76,11 +76,11 @@
     if not attempts.has_fresh_list(attempt, now_ms):
         return request_list(now_ms, attempt)
     attempt.is_order_pending = True
-    return [messages.Order(attempt.chosen, attempt.token)]
+    return [messages.OrderPromotion(attempt.chosen, attempt.token)]
 
 
 def handle_order_result(
-    state: states.GroupState, now_ms: int, message: messages.Ordered
+    state: states.GroupState, now_ms: int, message: messages.PromotionOrdered
 ) -> list:
     """Take in the platform's answer to an order."""
     attempt = state.promotion
@@ -97,7 +97,7 @@
         case messages.OrderResult.REFUSED:
             # Until the platform's service confirms the duty again, another
             # may hold it.
-            state.holds_duty = False
+            state.holds_promotion_lease = False
             return promotion_end.finish(state, now_ms, attempt, 'refused')
 
 
@@ -106,7 +106,7 @@
 ) -> list:
     attempt.accepted = True
     # This order's token outdoes all earlier ones as well.
-    state.unfenced = False
+    state.needs_fencing = False
     old = state.upstreams.get(attempt.old_primary)
     if state.primary == attempt.old_primary:
         state.primary = ''
--- a/topazring/core/synchronous/proofs.py
+++ b/topazring/core/synchronous/proofs.py
@@ -88,17 +88,17 @@
     primary = state.upstreams.get(state.primary)
     if primary is None or not leads_newest_term(state, primary):
         return states.NEVER_MS
-    others = states.others(state)
+    others = states.other_members(state)
     if not others:
         # Nobody is listed who could be promoted.
-        return primary.took_sent_ms
-    refused_ms = min(upstream.refused_sent_ms for upstream in others)
+        return primary.begin_accepted_sent_ms
+    refused_ms = min(upstream.begin_refused_sent_ms for upstream in others)
     if any(claims_to_lead(upstream) for upstream in others):
         # A replaced primary may state its successor's term before it steps
         # down, and so do those that follow the successor. Entries of that
         # term are in the successor's log alone.
         return max(
-            refused_ms, _by_all_but_one(u.followed_sent_ms for u in others)
+            refused_ms, _by_all_but_one(u.same_term_sent_ms for u in others)
         )
     return max(
         refused_ms,
@@ -128,7 +128,7 @@
     >>> claims_to_lead(one)
     False
     """
-    return upstream.took_sent_ms > upstream.refused_sent_ms
+    return upstream.begin_accepted_sent_ms > upstream.begin_refused_sent_ms
 
 
 def contests_leadership(
@@ -143,18 +143,18 @@
         return False
     took_ms = states.NEVER_MS
     if claims_to_lead(upstream):
-        took_ms = upstream.took_sent_ms
-    return max(took_ms, upstream.claimed_ms) > state.led_ms
+        took_ms = upstream.begin_accepted_sent_ms
+    return max(took_ms, upstream.claimed_ms) > state.primary_since_ms
 
 
 def _vouch(state: states.GroupState, proven: int) -> None:
     """Let members vouch for the lead that were there when it was proved."""
     for upstream in state.upstreams.values():
         if (
-            not upstream.vouches
-            and proven - upstream.come_ms >= ESTABLISHED_AFTER_MS
+            not upstream.is_established
+            and proven - upstream.first_listed_ms >= ESTABLISHED_AFTER_MS
         ):
-            upstream.vouches = True
+            upstream.is_established = True
 
 
 def is_unreachable(
@@ -173,9 +173,12 @@
     """
     if not state.primary:
         return
-    state.wanted_ms = max(state.wanted_ms, at_ms)
-    if state.doubted_ms is None and proven_until_ms(state) < state.wanted_ms:
-        state.doubted_ms = at_ms
+    state.newest_needed_ms = max(state.newest_needed_ms, at_ms)
+    if (
+        state.oldest_unproven_ms is None
+        and proven_until_ms(state) < state.newest_needed_ms
+    ):
+        state.oldest_unproven_ms = at_ms
 
 
 def required_proof_ms(
@@ -202,7 +205,7 @@
 
 def is_leadership_unproven(state: states.GroupState, now_ms: int) -> bool:
     """Say whether no proof can be had from here."""
-    since_ms = state.doubted_ms
+    since_ms = state.oldest_unproven_ms
     return since_ms is not None and now_ms - since_ms >= UNPROVEN_AFTER_MS
 
 
@@ -210,18 +213,20 @@
     """Use what is proved: places become samples, doubts end."""
     proven = proven_until_ms(state)
     _vouch(state, proven)
-    while state.pending and state.pending[0].sent_ms <= proven:
-        freshness.add_sample(state, state.pending.popleft())
-    if state.doubted_ms is None or proven < state.doubted_ms:
+    while state.pending_samples and state.pending_samples[0].sent_ms <= proven:
+        freshness.add_sample(state, state.pending_samples.popleft())
+    if state.oldest_unproven_ms is None or proven < state.oldest_unproven_ms:
         return
-    state.doubted_ms = None
-    if proven < state.wanted_ms:
-        state.doubted_ms = state.wanted_ms
+    state.oldest_unproven_ms = None
+    if proven < state.newest_needed_ms:
+        state.oldest_unproven_ms = state.newest_needed_ms
 
 
 def note_refusal(upstream: states.Upstream, sent_ms: int) -> None:
     """Take in that an upstream, when it was asked, led no newer term."""
-    upstream.refused_sent_ms = max(upstream.refused_sent_ms, sent_ms)
+    upstream.begin_refused_sent_ms = max(
+        upstream.begin_refused_sent_ms, sent_ms
+    )
 
 
 def note_confirmed(upstream: states.Upstream, sent_ms: int) -> None:
@@ -253,5 +258,5 @@
     # Before its first entry a new primary's log ends with the old term, which
     # a replica that still follows the old primary states as well.
     wrote = primary.lead_term == primary.place.log_term
-    if upstream.vouches and wrote and report.term == primary.lead_term:
-        upstream.followed_sent_ms = max(upstream.followed_sent_ms, sent_ms)
+    if upstream.is_established and wrote and report.term == primary.lead_term:
+        upstream.same_term_sent_ms = max(upstream.same_term_sent_ms, sent_ms)
--- a/topazring/core/synchronous/queue_report.py
+++ b/topazring/core/synchronous/queue_report.py
@@ -55,9 +55,9 @@
             if connection.transaction
             else ConnectionUse.IDLE
         )
-    if connection.errand is states.Errand.BEGINNING:
+    if connection.purpose is states.Purpose.BEGIN_TRANSACTION:
         return ConnectionUse.WORKING
-    if connection.errand is not states.Errand.STATEMENT:
+    if connection.purpose is not states.Purpose.STATEMENT:
         return ConnectionUse.OTHER
     return (
         ConnectionUse.WORKING
@@ -68,17 +68,17 @@
 
 def report_long_waits(
     state: states.GroupState, now_ms: int
-) -> list[messages.Decided]:
+) -> list[messages.LogDecision]:
     """Tell how the line stands if somebody waits for long."""
-    if now_ms - state.line_told_ms < PERIOD_MS:
+    if now_ms - state.queue_reported_ms < PERIOD_MS:
         return []
-    line = [work for work in state.work.values() if work.queued]
+    line = [work for work in state.work.values() if work.is_queued]
     since_ms = min((work.request.arrived_ms for work in line), default=now_ms)
     if now_ms - since_ms < LONG_WAIT_MS:
         return []
-    state.line_told_ms = now_ms
+    state.queue_reported_ms = now_ms
     inputs = {'oldest_ms': now_ms - since_ms, **_describe(state, now_ms, line)}
-    return [messages.Decided('line stands', inputs=inputs)]
+    return [messages.LogDecision('line stands', inputs=inputs)]
 
 
 def _describe(
@@ -89,7 +89,7 @@
     newest_ms = freshness.newest_sample_ms(state)
     return {
         'for_primary': for_primary,
-        'of_them_reads_moved': sum(work.is_moved for work in line),
+        'of_them_reads_moved': sum(work.is_moved_to_primary for work in line),
         'for_any': len(line) - for_primary,
         'primary': state.primary,
         'sample_age_ms': None if newest_ms is None else now_ms - newest_ms,
@@ -107,8 +107,8 @@
     counted = count_uses(state, upstream.name)
     told = ' '.join(f'{use} {counted[use]}' for use in ConnectionUse)
     told += f' ms {upstream.service_ms:.0f}'
-    if states.lacks_lately(upstream, now_ms):
-        told += f' lacks {upstream.lacked}'
+    if states.is_recently_lagging(upstream, now_ms):
+        told += f' lacks {upstream.missing_place}'
     if upstream.is_full:
         told += ' full'
     return f'{told} place {upstream.place}'
--- a/topazring/core/synchronous/reply_effects.py
+++ b/topazring/core/synchronous/reply_effects.py
@@ -4,7 +4,7 @@
 from topazring.core.synchronous import concurrency_limit
 from topazring.core.synchronous import connections
 from topazring.core.synchronous import freshness
-from topazring.core.synchronous import known_places
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import proofs
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
@@ -35,7 +35,7 @@
 
 
 def note_confirmed(
-    state: states.GroupState, confirmation: known_places.Confirmation
+    state: states.GroupState, confirmation: position_records.Confirmation
 ) -> None:
     """Take in a write whose confirmation is sound.
 
--- a/topazring/core/synchronous/request_queues.py
+++ b/topazring/core/synchronous/request_queues.py
@@ -33,7 +33,7 @@
     if queue is None:
         queue = admission.FairQueue(limit=state.limits.queue)
         queues[policy.priority] = queue
-    work.queued = True
+    work.is_queued = True
     return admission.push(
         queue, policy.database, work.deadline_ms, work.request.key
     )
@@ -44,7 +44,7 @@
     policy = work.request.policy
     queue = _queues(state, work.primary_only)[policy.priority]
     admission.remove(queue, policy.database, work.request.key)
-    work.queued = False
+    work.is_queued = False
 
 
 def has_any(state: states.GroupState, primary_only: bool) -> bool:
@@ -74,7 +74,7 @@
         line = queue.heaps[policy.database]
         if line[0][1] == work.request.key:
             admission.pop(queue, now_ms)
-            work.queued = False
+            work.is_queued = False
             return
     remove(state, work)
 
--- a/topazring/core/synchronous/restart.py
+++ b/topazring/core/synchronous/restart.py
@@ -10,14 +10,16 @@
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import state as states
 
-__all__ = ['outcome_of', 'successor']
+__all__ = ['outcome_after_restart', 'recreate_state']
 
 # Connections are dialled within some ten ms and the primary proved after two
 # ticks; what comes back sooner finds nothing to serve it.
 RETRY_MS = 200
 
 
-def outcome_of(state: states.GroupState, key: int) -> outcomes.Outcome:
+def outcome_after_restart(
+    state: states.GroupState, key: int
+) -> outcomes.Outcome:
     """Say what is kept of a request once all connections are closed.
 
     Whether one ran that the broken state holds no more is not known: its
@@ -27,11 +29,11 @@
     work = state.work.get(key)
     if work is None:
         return outcomes.Unknown(reason)
-    was_sent = work.offered_ms is not None
+    was_sent = work.first_sent_ms is not None
     return completion.unserved_outcome(work, reason, RETRY_MS, was_sent)
 
 
-def successor(state: states.GroupState) -> states.GroupState:
+def recreate_state(state: states.GroupState) -> states.GroupState:
     """Return the state to begin anew with.
 
     Numbers of connections go on, so that what an old one still tells is
@@ -46,7 +48,7 @@
     renewed.began_ms = state.began_ms
     renewed.token = state.token
     renewed.acknowledged = state.acknowledged
-    renewed.departures = state.departures
+    renewed.departed_members = state.departed_members
     renewed.counters = state.counters
     renewed.counters['group_restarted'] += 1
     return renewed
--- a/topazring/core/synchronous/results.py
+++ b/topazring/core/synchronous/results.py
@@ -45,11 +45,11 @@
 Handler = collections.abc.Callable[
     [states.GroupState, int, states.Connection, messages.Replied], list
 ]
-_errands: dict[states.Errand, Handler] = {}
+_errands: dict[states.Purpose, Handler] = {}
 
 
 def _handles(
-    errand: states.Errand,
+    errand: states.Purpose,
 ) -> collections.abc.Callable[[Handler], Handler]:
     def register(handler: Handler) -> Handler:
         _errands[errand] = handler
@@ -66,7 +66,7 @@
 ) -> list:
     """Take in the replies to what a connection was sent."""
     outs = record_log_positions(state, now_ms, connection, message.replies)
-    handler = _errands[connection.errand]
+    handler = _errands[connection.purpose]
     return outs + handler(state, now_ms, connection, message)
 
 
@@ -102,13 +102,13 @@
             )
             if reply.place is not None and upstream.name == state.primary:
                 sample = log_positions.Sample(connection.sent_ms, reply.place)
-                state.pending.append(sample)
+                state.pending_samples.append(sample)
     proofs.apply_proof(state)
     return outs
 
 
-@_handles(states.Errand.GUARD)
-@_handles(states.Errand.UNDOING)
+@_handles(states.Purpose.LEADERSHIP_CHECK)
+@_handles(states.Purpose.ABORT)
 def _after_errand(
     state: states.GroupState,
     now_ms: int,
@@ -120,7 +120,7 @@
     )
 
 
-@_handles(states.Errand.LOOK)
+@_handles(states.Purpose.STATUS_QUERY)
 def _looked(
     state: states.GroupState,
     now_ms: int,
@@ -139,7 +139,7 @@
     return outs
 
 
-@_handles(states.Errand.BEGINNING)
+@_handles(states.Purpose.BEGIN_TRANSACTION)
 def _begun(
     state: states.GroupState,
     now_ms: int,
@@ -161,14 +161,16 @@
             state, now_ms, connection, last
         )
     else:
-        return transactions.first_statement(state, now_ms, connection, work)
+        return transactions.send_first_statement(
+            state, now_ms, connection, work
+        )
     if work is None:
         return outs
     work.running.discard(connection.number)
     return outs + _not_run(state, now_ms, work, connection, refusal, commands)
 
 
-@_handles(states.Errand.STATEMENT)
+@_handles(states.Purpose.STATEMENT)
 def _ran(
     state: states.GroupState,
     now_ms: int,
@@ -181,13 +183,13 @@
     commands = connection.commands
     refusal = exchanges.first_refusal(commands, message.replies)
     if connection.transaction:
-        return transactions.ran(state, now_ms, connection, work, last)
+        return transactions.handle_reply(state, now_ms, connection, work, last)
     outs = reply_effects.release_connection(state, now_ms, connection, last)
     if work is None:
         state.counters['late_result'] += 1
         return outs
     work.running.discard(connection.number)
-    if work.ready is not None:
+    if work.unproven_answer is not None:
         # A copy of a read whose answer waits for its proof.
         return outs
     if refusal is not None and not work.request.writes:
@@ -213,9 +215,9 @@
     took_ms = now_ms - connection.sent_ms
     upstream.service_ms += (took_ms - upstream.service_ms) * SERVICE_WEIGHT
     upstream.service_ms = max(MIN_SERVICE_MS, upstream.service_ms)
-    upstream.service_told_ms = now_ms
+    upstream.service_updated_ms = now_ms
     concurrency_limit.adjust_limit(state, upstream)
-    upstream.lacked_pause_ms = 0
+    upstream.lagging_pause_ms = 0
     retries.earn(state.budget)
 
 
@@ -287,10 +289,10 @@
     for command in commands:
         after = getattr(command, 'after', None)
         if after is not None:
-            upstream.lacked = after
-            upstream.lacked_ms = now_ms
-    upstream.lacked_pause_ms = min(
-        max(LAGGING_PAUSE_MS, upstream.lacked_pause_ms * 2),
+            upstream.missing_place = after
+            upstream.lagging_ms = now_ms
+    upstream.lagging_pause_ms = min(
+        max(LAGGING_PAUSE_MS, upstream.lagging_pause_ms * 2),
         MAX_LAGGING_PAUSE_MS,
     )
 
@@ -324,7 +326,7 @@
     outs = record_log_positions(state, now_ms, connection, message.replies)
     outs += connections.handle_closed(state, now_ms, connection, message)
     work = state.work.get(connection.work)
-    if work is None or work.running or work.ready is not None:
+    if work is None or work.running or work.unproven_answer is not None:
         return outs
     return outs + _lost(state, now_ms, connection, work, message.reason)
 
@@ -338,8 +340,8 @@
 ) -> list:
     """Judge a request whose connection ended before its answer."""
     request = work.request
-    begun = connection.errand is states.Errand.STATEMENT
-    if request.goes_on:
+    begun = connection.purpose is states.Purpose.STATEMENT
+    if request.continues_transaction:
         # Before its COMMIT the transaction is undone with its connection.
         commits = request.statement.verb is statements.Verb.COMMIT
         return completion.give_up(
--- a/topazring/core/synchronous/routing.py
+++ b/topazring/core/synchronous/routing.py
@@ -82,8 +82,8 @@
     """Say whether an upstream holds a place, as far as is known."""
     if upstream.name == state.primary or upstream.place >= place:
         return True
-    lacks = states.lacks_lately(upstream, now_ms)
-    return not (lacks and upstream.lacked <= place)
+    lacks = states.is_recently_lagging(upstream, now_ms)
+    return not (lacks and upstream.missing_place <= place)
 
 
 def _readable(state: states.GroupState, now_ms: int) -> list[states.Upstream]:
@@ -193,11 +193,11 @@
     One that was slow is not asked, so nothing tells that it is quick again:
     what exceeds a typical time counts half after each half-life.
     """
-    excess_ms = upstream.service_ms - states.TYPICAL_MS
+    excess_ms = upstream.service_ms - states.TYPICAL_SERVICE_MS
     if excess_ms <= 0:
         return upstream.service_ms
-    age_ms = now_ms - upstream.service_told_ms
-    return states.TYPICAL_MS + excess_ms * 0.5 ** (
+    age_ms = now_ms - upstream.service_updated_ms
+    return states.TYPICAL_SERVICE_MS + excess_ms * 0.5 ** (
         age_ms / SERVICE_HALF_LIFE_MS
     )
 
@@ -213,7 +213,7 @@
     return any(
         connection.phase is states.Phase.BUSY
         and now_ms - connection.sent_ms > limit_ms
-        and upstream.heard_ms < connection.sent_ms
+        and upstream.last_received_ms < connection.sent_ms
         for connection in states.connections_to(state, upstream.name)
     )
 
--- a/topazring/core/synchronous/sessions.py
+++ b/topazring/core/synchronous/sessions.py
@@ -13,12 +13,12 @@
 from topazring.core.synchronous import statements
 
 __all__ = [
-    'Local',
+    'LocalAnswer',
     'Session',
-    'Transacting',
-    'finish',
-    'lose_transaction',
-    'take',
+    'OpenTransaction',
+    'record_outcome',
+    'fail_transaction',
+    'handle_statement',
 ]
 
 Reason = outcomes.Reason
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Transacting:
+class OpenTransaction:
     """Hold the transaction that a session is in."""
 
     key: int
@@ -50,13 +50,13 @@
     prepared: dict[str, statements.Prepare] = dataclasses.field(
         default_factory=dict
     )
-    transaction: Transacting | None = None
+    transaction: OpenTransaction | None = None
     # Its own last commit.
     place: log_positions.LogPosition = log_positions.ORIGIN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Local:
+class LocalAnswer:
     """Answer a statement without an upstream.
 
     `ends` is the transaction that is to be undone, 0 if none.
@@ -66,13 +66,13 @@
     ends: int = 0
 
 
-def take(
+def handle_statement(
     session: Session,
     now_ms: int,
     key: int,
     statement: statements.Statement,
     policy: messages.Policy | None,
-) -> Local | messages.Request:
+) -> LocalAnswer | messages.Request:
     """Answer a statement here, or return the request for an upstream.
 
     `key` becomes the request's, and the transaction's that it begins.
@@ -86,7 +86,7 @@
             return _rollback(session)
         case Verb.SET:
             session.values[statement.name] = statement.value
-            return Local(_DONE)
+            return LocalAnswer(_DONE)
         case Verb.PREPARE:
             return _prepare(session, statement)
         case Verb.DEALLOCATE:
@@ -95,28 +95,30 @@
             return _request(session, now_ms, key, statement, policy)
 
 
-def _reject(session: Session, reason: Reason, detail: str) -> Local:
+def _reject(session: Session, reason: Reason, detail: str) -> LocalAnswer:
     """Refuse a statement that is wrong; a transaction fails by it."""
     ends = 0
     if session.transaction is not None:
         ends = session.transaction.key if session.transaction.begun else 0
         session.transaction = None
         session.state = SessionState.FAILED
-    return Local(outcomes.Rejected(reason, detail), ends)
+    return LocalAnswer(outcomes.Rejected(reason, detail), ends)
 
 
-def _in_failed(session: Session, statement: statements.Statement) -> Local:
+def _in_failed(
+    session: Session, statement: statements.Statement
+) -> LocalAnswer:
     match statement.verb:
         case Verb.ROLLBACK:
             session.state = SessionState.IDLE
-            return Local(_DONE)
+            return LocalAnswer(_DONE)
         case Verb.COMMIT:
             session.state = SessionState.IDLE
-            return Local(outcomes.NotRun(Reason.TRANSACTION_LOST, 0))
+            return LocalAnswer(outcomes.NotRun(Reason.TRANSACTION_LOST, 0))
         case _:
             detail = 'the transaction failed; end it first'
             rejected = outcomes.Rejected(Reason.BAD_STATEMENT, detail)
-            return Local(rejected)
+            return LocalAnswer(rejected)
 
 
 def _begin(
@@ -124,32 +126,32 @@
     key: int,
     statement: statements.Statement,
     policy: messages.Policy | None,
-) -> Local:
+) -> LocalAnswer:
     if session.transaction is not None:
         detail = 'a transaction is open already'
         return _reject(session, Reason.BAD_STATEMENT, detail)
     if policy is None:
-        return Local(_unknown(session))
-    session.transaction = Transacting(key, policy, statement.read_only)
+        return LocalAnswer(_unknown(session))
+    session.transaction = OpenTransaction(key, policy, statement.read_only)
     session.state = SessionState.IN_TRANSACTION
-    return Local(_DONE)
+    return LocalAnswer(_DONE)
 
 
 def _unknown(session: Session) -> outcomes.Rejected:
     return outcomes.Rejected(Reason.UNKNOWN_DATABASE, session.database)
 
 
-def _rollback(session: Session) -> Local:
+def _rollback(session: Session) -> LocalAnswer:
     transaction = session.transaction
     if transaction is None:
         detail = 'no transaction is open'
         return _reject(session, Reason.NO_TRANSACTION, detail)
     session.transaction = None
     session.state = SessionState.IDLE
-    return Local(_DONE, transaction.key if transaction.begun else 0)
+    return LocalAnswer(_DONE, transaction.key if transaction.begun else 0)
 
 
-def _prepare(session: Session, statement: statements.Statement) -> Local:
+def _prepare(session: Session, statement: statements.Statement) -> LocalAnswer:
     """Prepare under a name that all sessions share.
 
     Callers' names collide. One name for each access and shape lets most
@@ -159,13 +161,15 @@
     session.prepared[statement.name] = statements.Prepare(
         shared, statement.access, statement.value
     )
-    return Local(_DONE)
+    return LocalAnswer(_DONE)
 
 
-def _deallocate(session: Session, statement: statements.Statement) -> Local:
+def _deallocate(
+    session: Session, statement: statements.Statement
+) -> LocalAnswer:
     if session.prepared.pop(statement.name, None) is None:
         return _reject(session, Reason.NO_STATEMENT, statement.name)
-    return Local(_DONE)
+    return LocalAnswer(_DONE)
 
 
 def _request(
@@ -174,7 +178,7 @@
     key: int,
     statement: statements.Statement,
     policy: messages.Policy | None,
-) -> Local | messages.Request:
+) -> LocalAnswer | messages.Request:
     transaction = session.transaction
     if transaction is not None:
         policy = transaction.policy
@@ -182,7 +186,7 @@
         detail = 'no transaction is open'
         return _reject(session, Reason.NO_TRANSACTION, detail)
     if policy is None:
-        return Local(_unknown(session))
+        return LocalAnswer(_unknown(session))
     prepared = None
     writes = statement.verb is Verb.WRITE
     if statement.verb is Verb.EXECUTE:
@@ -208,7 +212,7 @@
     )
 
 
-def finish(
+def record_outcome(
     session: Session, request: messages.Request, outcome: outcomes.Outcome
 ) -> None:
     """Take in the final answer to a request."""
@@ -227,7 +231,7 @@
         session.state = SessionState.FAILED
 
 
-def lose_transaction(session: Session) -> int:
+def fail_transaction(session: Session) -> int:
     """Fail the open transaction; return the key to be undone, 0 if none."""
     transaction = session.transaction
     if transaction is None:
--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -8,39 +8,39 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core import retries
-from topazring.core.synchronous import departures as departing
-from topazring.core.synchronous import known_places
+from topazring.core.synchronous import departed_members as departing
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import statements
 
 __all__ = [
     'Connection',
-    'Errand',
+    'Purpose',
     'GroupState',
     'Limits',
     'NEVER_MS',
     'Phase',
-    'TYPICAL_MS',
+    'TYPICAL_SERVICE_MS',
     'Transaction',
     'Upstream',
     'Work',
     'connections_to',
     'idle_connections',
     'is_closed_to_work',
-    'lacks_lately',
+    'is_recently_lagging',
     'make_group',
-    'others',
+    'other_members',
 ]
 
 
 # Before any time that a clock of ours shows.
 NEVER_MS = -(10**9)
 # A statement takes some 10 to 20 ms.
-TYPICAL_MS = 15.0
+TYPICAL_SERVICE_MS = 15.0
 # No bound yet on the connections at work; shares are far smaller.
-MOST_BUSY = 1000.0
+MAX_CONCURRENCY = 1000.0
 # Unproved places that are kept: a doubt lasts 300 ms, with a guard each 50.
-PENDING = 16
+MAX_PENDING_SAMPLES = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,19 +61,19 @@
     BUSY = 'busy'
 
 
-class Errand(enum.StrEnum):
+class Purpose(enum.StrEnum):
     """Name what the commands under way on a connection are for."""
 
     NONE = 'none'
     # The transaction's BEGIN; the statement follows once it succeeded.
-    BEGINNING = 'beginning'
+    BEGIN_TRANSACTION = 'beginning'
     STATEMENT = 'statement'
     # BEGIN and ROLLBACK alone: does it lead, and where does its log stand?
-    GUARD = 'guard'
+    LEADERSHIP_CHECK = 'guard'
     # Its own word on its part and term.
-    LOOK = 'look'
+    STATUS_QUERY = 'look'
     # The end of a transaction that its session gave up.
-    UNDOING = 'undoing'
+    ABORT = 'undoing'
     # A step of a promotion.
     CONTROL = 'control'
 
@@ -85,16 +85,16 @@
     number: int
     upstream: str
     phase: Phase = Phase.OPENING
-    errand: Errand = Errand.NONE
+    purpose: Purpose = Purpose.NONE
     commands: tuple[statements.Command, ...] = ()
     # When the dial or the commands under way went out.
     sent_ms: int = 0
     idle_since_ms: int = 0
     work: int = 0
     # When a request from the line took it; None while none has.
-    taken_ms: int | None = None
+    checked_out_ms: int | None = None
     # The statement under way writes.
-    writing: bool = False
+    is_writing: bool = False
     # Where the upstream's log was known to stand when they went out.
     place_before: log_positions.LogPosition = log_positions.ORIGIN
     transaction: int = 0
@@ -120,10 +120,10 @@
     place: log_positions.LogPosition = log_positions.ORIGIN
     place_ms: int = 0
     # It said that it lacked this place, then.
-    lacked: log_positions.LogPosition = log_positions.ORIGIN
-    lacked_ms: int = NEVER_MS
+    missing_place: log_positions.LogPosition = log_positions.ORIGIN
+    lagging_ms: int = NEVER_MS
     # How long it is left alone then.
-    lacked_pause_ms: int = 0
+    lagging_pause_ms: int = 0
     # It refused as one that does not lead, then.
     refuted_ms: int | None = None
     # Under which term it says that it leads; 0 if it does not or that is
@@ -132,30 +132,30 @@
     # When the last question went out that it answered by taking a BEGIN, by
     # refusing one, as a replica of no newer term than the primary's, as a
     # primary whose write a replica had confirmed.
-    took_sent_ms: int = NEVER_MS
-    refused_sent_ms: int = NEVER_MS
+    begin_accepted_sent_ms: int = NEVER_MS
+    begin_refused_sent_ms: int = NEVER_MS
     witness_sent_ms: int = NEVER_MS
     # As a replica of the very term that the primary has written in.
-    followed_sent_ms: int = NEVER_MS
+    same_term_sent_ms: int = NEVER_MS
     confirmed_sent_ms: int = NEVER_MS
     # When it was first listed here. It vouches for a lead only after that
     # was proved otherwise: whoever promotes may not have known it.
-    come_ms: int = 0
-    vouches: bool = False
+    first_listed_ms: int = 0
+    is_established: bool = False
     # It had been listed under its name before, as another.
-    began_again: bool = False
+    is_recreated: bool = False
     # When it was last asked whether it leads, and for its term.
     asked_ms: int = NEVER_MS
     witness_asked_ms: int = NEVER_MS
     # When the list last named it as the primary; NEVER_MS once refuted.
     claimed_ms: int = NEVER_MS
     # Its claim to lead waits for its term; when it was last asked for it.
-    in_question: bool = False
-    questioned_ms: int = NEVER_MS
+    has_pending_claim: bool = False
+    claim_checked_ms: int = NEVER_MS
     # It was replaced and does not know; when it was last told.
-    to_depose: bool = False
-    deposed_ms: int = NEVER_MS
-    heard_ms: int = 0
+    needs_demotion: bool = False
+    demotion_sent_ms: int = NEVER_MS
+    last_received_ms: int = 0
     # When it last had a write confirmed by a replica.
     confirmed_ms: int = 0
     # Where its log ends at least, by the newest question that it answered.
@@ -164,27 +164,27 @@
     # Its last own word: for which term is it paused, 0 if it is not, and when
     # was it asked?
     held_term: int = 0
-    reported_sent_ms: int = NEVER_MS
-    report_asked_ms: int = NEVER_MS
+    answered_status_sent_ms: int = NEVER_MS
+    status_asked_ms: int = NEVER_MS
     # The first dial, command or refusal since it was last heard.
-    unheard_since_ms: int | None = None
+    unresponsive_since_ms: int | None = None
     # Dials that were refused or went unanswered since it was last heard.
     failed_dials: int = 0
     dial_after_ms: int = 0
-    out_of_reach: bool = False
+    is_unreachable: bool = False
     # It refused the last dial for it had too many connections.
     is_full: bool = False
     busy_until_ms: int = 0
     # How long a statement takes there, and when that was last seen.
-    service_ms: float = TYPICAL_MS
-    service_told_ms: int = 0
+    service_ms: float = TYPICAL_SERVICE_MS
+    service_updated_ms: int = 0
     # How long a request from the line keeps a connection to it; a
     # transaction with all its pauses.
-    kept_ms: float = TYPICAL_MS
+    hold_ms: float = TYPICAL_SERVICE_MS
     # How long a statement takes there when it need not queue, and how many
     # connections are to be at work at a time.
-    quick_ms: float = TYPICAL_MS
-    most_busy: float = MOST_BUSY
+    unqueued_service_ms: float = TYPICAL_SERVICE_MS
+    concurrency_limit: float = MAX_CONCURRENCY
 
 
 @dataclasses.dataclass(slots=True)
@@ -195,25 +195,25 @@
     deadline_ms: int
     # The connections that run it now; two while a read is hedged.
     running: set[int] = dataclasses.field(default_factory=set)
-    queued: bool = False
+    is_queued: bool = False
     # The first time it went out; None while it only waited.
-    offered_ms: int | None = None
+    first_sent_ms: int | None = None
     not_before_ms: int = 0
     # Upstreams that could not serve it; tried again when none is left.
     passed_over: set[str] = dataclasses.field(default_factory=set)
     primary_only: bool = False
     hedges: int = 0
     # Something about it was out of the ordinary: the log tells its rest too.
-    told: bool = False
+    is_traced: bool = False
     # The answer that waits for the proof that its upstream led.
-    ready: outcomes.Done | None = None
-    needs_ms: int = NEVER_MS
+    unproven_answer: outcomes.Done | None = None
+    proof_needed_ms: int = NEVER_MS
     # The same of a write, which waits until it is sure to last.
-    confirmation: known_places.Confirmation | None = None
+    confirmation: position_records.Confirmation | None = None
     last_reason: outcomes.Reason = outcomes.Reason.NO_PRIMARY
 
     @property
-    def is_moved(self) -> bool:
+    def is_moved_to_primary(self) -> bool:
         """Say whether it may be read anywhere, but nobody else would do."""
         return self.primary_only and not self.request.needs_primary
 
@@ -228,7 +228,7 @@
     idle_limit_ms: int
     # The moment for which the lead has to be proved before a read of it is
     # answered; None if a place bounds its age.
-    needs_ms: int | None = None
+    proof_needed_ms: int | None = None
     wrote: bool = False
 
 
@@ -273,13 +273,13 @@
     # Believed to lead; empty while unknown.
     primary: str = ''
     # Since when.
-    led_ms: int = NEVER_MS
+    primary_since_ms: int = NEVER_MS
     # Another was to follow the last primary, and is listed no more.
     successor_gone: bool = False
     # The newest term that is over, for a successor was named since.
-    over_term: int = 0
+    ended_term: int = 0
     # Since when that is known.
-    over_ms: int = NEVER_MS
+    term_ended_ms: int = NEVER_MS
     # The last that was believed to lead.
     last_primary: str = ''
     last_primary_born_ms: int = 0
@@ -291,54 +291,60 @@
     isolated_since_ms: int = 0
     # How long a group is usually without a primary: the time to notice, and
     # the promotion's own.
-    gap_ms: float = 1000.0
+    typical_outage_ms: float = 1000.0
     # Acknowledged writes are known to reach this place at least; nobody
     # whose log ends before it may be promoted.
     acknowledged: log_positions.LogPosition = log_positions.ORIGIN
     # Upstreams that may hold what nobody else holds.
-    departures: departing.Departures = dataclasses.field(
-        default_factory=departing.Departures
+    departed_members: departing.DepartedMembers = dataclasses.field(
+        default_factory=departing.DepartedMembers
     )
     # The last upstream that proved to lead, and when it first did.
-    proven: str = ''
+    proven_primary: str = ''
     proven_ms: int = 0
     # What the last primary of which that is known began with.
-    start: known_places.Start = known_places.Start()
+    primary_start: position_records.PrimaryStart = (
+        position_records.PrimaryStart()
+    )
     # Oldest first.
     samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=collections.deque
     )
     # Keys of the requests whose answers wait for a proof.
-    held: set[int] = dataclasses.field(default_factory=set)
+    awaiting_proof: set[int] = dataclasses.field(default_factory=set)
     # When a confirmed write was last given up, for nobody vouched for it.
-    unsure_ms: int = NEVER_MS
+    unproven_write_ms: int = NEVER_MS
     # Places that the primary reported and that are samples once its lead is
     # proved for their time; oldest first.
-    pending: collections.deque[log_positions.Sample] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=PENDING)
+    pending_samples: collections.deque[log_positions.Sample] = (
+        dataclasses.field(
+            default_factory=lambda: collections.deque(
+                maxlen=MAX_PENDING_SAMPLES
+            )
+        )
     )
     # The newest moment for which the lead is to be proved, and the oldest
     # for which it is not; None if there is none.
-    wanted_ms: int = NEVER_MS
-    doubted_ms: int | None = None
+    newest_needed_ms: int = NEVER_MS
+    oldest_unproven_ms: int | None = None
     budget: retries.Budget = dataclasses.field(default_factory=retries.Budget)
     # When this process last went on after it stood still.
-    woke_ms: int = 0
+    resumed_ms: int = 0
     # The last tick; 0 before the first.
-    ticked_ms: int = 0
+    last_tick_ms: int = 0
     # When it was last told how the line stands.
-    line_told_ms: int = NEVER_MS
-    guarded_ms: int = 0
-    followed_ms: int = 0
-    holds_duty: bool = False
+    queue_reported_ms: int = NEVER_MS
+    leadership_checked_ms: int = 0
+    replicas_checked_ms: int = 0
+    holds_promotion_lease: bool = False
     token: int = 0
     # Orders of earlier holders may still arrive until a higher token is seen.
-    unfenced: bool = False
+    needs_fencing: bool = False
     fence_token: int = 0
     promotion: object | None = None
     next_promotion_ms: int = 0
     # When it was last found out whether replicas receive.
-    looked_ms: int = -10_000
+    replication_checked_ms: int = -10_000
     # Resumed again once their group has a primary.
     paused: set[str] = dataclasses.field(default_factory=set)
     counters: collections.Counter[str] = dataclasses.field(
@@ -365,7 +371,7 @@
     ]
 
 
-def others(state: GroupState) -> list[Upstream]:
+def other_members(state: GroupState) -> list[Upstream]:
     """Return all members but the one that is believed to lead."""
     return [
         upstream
@@ -380,6 +386,6 @@
     return closes_ms is not None and now_ms >= closes_ms
 
 
-def lacks_lately(upstream: Upstream, now_ms: int) -> bool:
+def is_recently_lagging(upstream: Upstream, now_ms: int) -> bool:
     """Say whether a replica is left alone that lacked a place."""
-    return now_ms - upstream.lacked_ms < upstream.lacked_pause_ms
+    return now_ms - upstream.lagging_ms < upstream.lagging_pause_ms
--- a/topazring/core/synchronous/tests/ablations.py
+++ b/topazring/core/synchronous/tests/ablations.py
@@ -9,7 +9,7 @@
 from topazring.core.synchronous import attempts
 from topazring.core.synchronous import completion
 from topazring.core.synchronous import connections
-from topazring.core.synchronous import departures
+from topazring.core.synchronous import departed_members
 from topazring.core.synchronous import exchanges
 from topazring.core.synchronous import freshness
 from topazring.core.synchronous import isolation
@@ -22,7 +22,7 @@
 from topazring.core.synchronous import sessions
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
-from topazring.core.synchronous.tests import world as worlds
+from topazring.core.synchronous.tests import simulation as worlds
 
 __all__ = ['ABLATIONS', 'SOON', 'SOON_THROUGH_ENTRIES']
 
@@ -81,8 +81,8 @@
     """Take the places of whoever takes a guard for samples."""
 
     def settle(state):
-        while state.pending:
-            freshness.add_sample(state, state.pending.popleft())
+        while state.pending_samples:
+            freshness.add_sample(state, state.pending_samples.popleft())
 
     return mock.patch.object(proofs, 'apply_proof', settle)
 
@@ -136,13 +136,13 @@
 @_soon
 def _forget_own_commit():
     """Forget where a session's own commit is."""
-    finish = sessions.finish
+    finish = sessions.record_outcome
 
     def forgetful(session, request, outcome):
         finish(session, request, outcome)
         session.place = log_positions.ORIGIN
 
-    return mock.patch.object(sessions, 'finish', forgetful)
+    return mock.patch.object(sessions, 'record_outcome', forgetful)
 
 
 @_ablation
@@ -158,7 +158,7 @@
 def _promote_without_pause():
     """Choose by what replicas report while they still receive."""
     return mock.patch.object(
-        worlds.World,
+        worlds.Simulation,
         'pause',
         lambda self, wire, member, command: self.ok(
             wire,
@@ -192,7 +192,7 @@
 def _forget_departed():
     """Promote as if a member that is gone had confirmed nothing."""
     return mock.patch.object(
-        departures.Departures, 'may_exceed', lambda *args: []
+        departed_members.DepartedMembers, 'may_exceed', lambda *args: []
     )
 
 
@@ -260,6 +260,6 @@
         session.prepared[statement.name] = statements.Prepare(
             statement.name, statement.access, statement.value
         )
-        return sessions.Local(sessions._DONE)
+        return sessions.LocalAnswer(sessions._DONE)
 
     return mock.patch.object(sessions, '_prepare', prepare)
--- a/topazring/core/synchronous/tests/failover_support.py
+++ b/topazring/core/synchronous/tests/failover_support.py
@@ -11,10 +11,14 @@
 def make_lease_holder(**more) -> support.Driver:
     """Return a calm group's core that holds the duty and has fenced."""
     driver = support.Driver().ready(**more)
-    driver.post(messages.DutySeen(True, 100))
-    for order in support.orders(driver.tick(120) + driver.answer_guards()):
+    driver.post(messages.PromotionLeaseSeen(True, 100))
+    for order in support.orders(
+        driver.tick(120) + driver.answer_leadership_checks()
+    ):
         driver.post(
-            messages.Ordered(order.upstream, order.token, OrderResult.ACCEPTED)
+            messages.PromotionOrdered(
+                order.upstream, order.token, OrderResult.ACCEPTED
+            )
         )
     answer_control_commands(driver)
     return driver
@@ -24,7 +28,7 @@
     """Answer every pause, look and resume."""
     outs = []
     for connection in driver.busy():
-        if connection.errand is not states.Errand.CONTROL:
+        if connection.purpose is not states.Purpose.CONTROL:
             continue
         place = received.get(connection.upstream, Place(1, 5))
         command = connection.commands[0]
@@ -43,7 +47,7 @@
             outs += driver.close(connection)
     for _ in range(25):
         outs += driver.tick(20)
-        outs += driver.answer_guards(primary='')
+        outs += driver.answer_leadership_checks(primary='')
         for connection in list(driver.state.connections.values()):
             if connection.upstream == 'u1':
                 outs += driver.close(connection)
--- a/topazring/core/synchronous/tests/invariants.py
+++ b/topazring/core/synchronous/tests/invariants.py
@@ -29,9 +29,9 @@
                 found.append(f'request {key} runs on {number}, which is gone')
             elif connection.work != key:
                 found.append(f'request {key} runs on {number}, not its own')
-        if not (work.queued or work.running or work.ready):
+        if not (work.is_queued or work.running or work.unproven_answer):
             found.append(f'request {key} waits for nothing')
-        if work.queued and work.running:
+        if work.is_queued and work.running:
             found.append(f'request {key} runs and waits in line')
     return found
 
@@ -77,5 +77,5 @@
         for line in queue.heaps.values()
         for _, key in line
     }
-    queued = {key for key, work in state.work.items() if work.queued}
+    queued = {key for key, work in state.work.items() if work.is_queued}
     return [f'request {key} is in line, or not' for key in waiting ^ queued]
--- a/topazring/core/synchronous/tests/load_simulation.py
+++ b/topazring/core/synchronous/tests/load_simulation.py
@@ -89,9 +89,9 @@
         self.post(name, messages.UpstreamsSeen(self._listed()))
         self.at(TICK_MS * self.rng.random(), self._tick, name)
 
-    def _listed(self) -> tuple[messages.Listed, ...]:
+    def _listed(self) -> tuple[messages.ListedUpstream, ...]:
         return tuple(
-            messages.Listed(u.name, u.name, u.data_centre, u.role, 1)
+            messages.ListedUpstream(u.name, u.name, u.data_centre, u.role, 1)
             for u in self.upstreams.values()
         )
 
--- a/topazring/core/synchronous/tests/proof_support.py
+++ b/topazring/core/synchronous/tests/proof_support.py
@@ -20,7 +20,7 @@
     """Answer the guards at one upstream."""
     outs = []
     for connection in driver.busy(upstream):
-        if connection.errand is states.Errand.GUARD:
+        if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
             last = support.ok(place=first.place or Place(1, 5))
             outs += driver.reply(connection, first, last)
     return outs
@@ -32,7 +32,7 @@
     """Answer the questions for an upstream's own word."""
     outs = []
     for connection in driver.busy(upstream):
-        if connection.errand is states.Errand.LOOK:
+        if connection.purpose is states.Purpose.STATUS_QUERY:
             outs += driver.reply(connection, support.report(**report))
     return outs
 
--- a/topazring/core/synchronous/tests/simulated_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -89,14 +89,14 @@
         statement = statements.Statement(
             f'r{key}', verb, text, read_only=read_only
         )
-        taken = sessions.take(
+        taken = sessions.handle_statement(
             self.session,
             int(crowd.now_ms),
             key,
             statement,
             self.kind.policy,
         )
-        if isinstance(taken, sessions.Local):
+        if isinstance(taken, sessions.LocalAnswer):
             self._go_on()
             return
         self._run(taken, forwarding.Plan())
@@ -104,7 +104,7 @@
     def _run(self, request: messages.Request, plan: forwarding.Plan) -> None:
         crowd = self.crowd
         place = self.owner
-        if not request.goes_on:
+        if not request.continues_transaction:
             loads = crowd.loads[self.entry]
             place = forwarding.next_owner(
                 plan,
@@ -148,7 +148,7 @@
             self._run(request, plan)
 
     def _answered(self, request, outcome: outcomes.Outcome) -> None:
-        sessions.finish(self.session, request, outcome)
+        sessions.record_outcome(self.session, request, outcome)
         tally = self.crowd.tallies[self.kind.policy.database]
         if not isinstance(outcome, outcomes.Done):
             waited_ms = self.crowd.now_ms - request.arrived_ms
--- a/topazring/core/synchronous/tests/world.py
+++ b/topazring/core/synchronous/tests/simulation.py
@@ -39,7 +39,7 @@
 )
 
 
-class World(upstream_side.UpstreamSide, simulated_time.SimulatedTime):
+class Simulation(upstream_side.UpstreamSide, simulated_time.SimulatedTime):
     """Hold proxies, upstreams, what is under way, and the oracle."""
 
     def __init__(self, seed: int, promote_ms: int = upstream_side.PROMOTE_MS):
@@ -62,7 +62,7 @@
         self.states: dict[str, states.GroupState] = {}
         self.frozen_until_ms: dict[str, int] = {}
         # What came for a proxy that stands still.
-        self.held = {name: collections.deque() for name in PROXIES}
+        self.frozen_inboxes = {name: collections.deque() for name in PROXIES}
         self.sessions: list[tuple[str, sessions.Session]] = []
         self.pending: dict[tuple[str, int], sessions.Session] = {}
         # Sessions whose answers reach nobody any more.
@@ -92,7 +92,7 @@
 
     def post(self, proxy: str, message: object) -> None:
         """Give a proxy's core a message, now or when it goes on."""
-        held = self.held[proxy]
+        held = self.frozen_inboxes[proxy]
         if held or self.is_frozen(proxy):
             held.append(message)
             if len(held) == 1:
@@ -106,8 +106,8 @@
             delay_ms = self.frozen_until_ms[proxy] - self.now_ms
             self.at(delay_ms, self.thaw, proxy)
             return
-        while self.held[proxy]:
-            self.deliver(proxy, self.held[proxy].popleft())
+        while self.frozen_inboxes[proxy]:
+            self.deliver(proxy, self.frozen_inboxes[proxy].popleft())
 
     def deliver(self, proxy: str, message: object) -> None:
         """Give a proxy's core a message and do what it says."""
@@ -126,7 +126,7 @@
             return
         paused_ms = int(self.now_ms - before_ms - TICK_MS)
         self.post(proxy, messages.Tick(max(0, paused_ms)))
-        if paused_ms >= group.DUTY_PAUSE_MS:
+        if paused_ms >= group.LEASE_RECHECK_PAUSE_MS:
             self.at(30, self.confirm_duty, proxy)
         self.at(TICK_MS, self.tick, proxy, self.now_ms)
 
@@ -143,19 +143,24 @@
                 self.at(self.delay(), self.hang_up, proxy, out.connection)
             case messages.Answer():
                 self.take_answer(proxy, out)
-            case messages.Order():
+            case messages.OrderPromotion():
                 self.order_promotion(proxy, out)
-            case messages.ReadList():
+            case messages.ReadUpstreamList():
                 self.at(self.delay(), self.read_list, proxy, out)
-            case messages.YieldDuty():
+            case messages.YieldPromotionLease():
                 self.at(GAIN_MS, self.gain_duty_after, proxy)
-            case messages.Decided():
+            case messages.LogDecision():
                 self.note(f'{proxy} {out.what} {dict(out.inputs)}')
 
-    def read_list(self, proxy: str, out: messages.ReadList) -> None:
+    def read_list(self, proxy: str, out: messages.ReadUpstreamList) -> None:
         """Tell a proxy what is listed now; the answer takes its time."""
         self.at(self.delay(), self.tell_list, proxy, self.listed())
-        self.at(LIST_READ_MS, self.post, proxy, messages.ListRead(out.token))
+        self.at(
+            LIST_READ_MS,
+            self.post,
+            proxy,
+            messages.UpstreamListRead(out.token),
+        )
 
     def delay(self) -> float:
         """Return how long a message takes."""
@@ -165,7 +170,7 @@
         """Let a proxy gain the duty; the others may not know it yet."""
         self.next_block += 1000
         self.holder = proxy
-        self.post(proxy, messages.DutySeen(True, self.next_block))
+        self.post(proxy, messages.PromotionLeaseSeen(True, self.next_block))
 
     def gain_duty_after(self, before: str) -> None:
         """Let another proxy gain the duty that one gave up."""
@@ -176,21 +181,23 @@
     def confirm_duty(self, proxy: str) -> None:
         """Tell a proxy that asked whether it still holds the duty."""
         if proxy == self.holder:
-            self.post(proxy, messages.DutySeen(True, self.next_block))
+            self.post(
+                proxy, messages.PromotionLeaseSeen(True, self.next_block)
+            )
 
     def tell_list(
         self,
         proxy: str,
-        listed: tuple[messages.Listed, ...] | None = None,
+        listed: tuple[messages.ListedUpstream, ...] | None = None,
     ) -> None:
         """Tell a proxy what the platform lists, now or when it was read."""
         listed = self.listed() if listed is None else listed
         self.post(proxy, messages.UpstreamsSeen(listed))
 
-    def listed(self) -> tuple[messages.Listed, ...]:
+    def listed(self) -> tuple[messages.ListedUpstream, ...]:
         """Return what the platform lists."""
         return tuple(
-            messages.Listed(
+            messages.ListedUpstream(
                 member.name,
                 member.name,
                 'dc' if member.name == 'u2' else 'other',
@@ -317,10 +324,10 @@
         """Have a session's caller send a statement."""
         policy = next(p for p in POLICIES if p.database == session.database)
         before = session.transaction
-        taken = sessions.take(
+        taken = sessions.handle_statement(
             session, int(self.now_ms), next(self.keys), text, policy
         )
-        if isinstance(taken, sessions.Local):
+        if isinstance(taken, sessions.LocalAnswer):
             self.local(proxy, before, taken)
             return
         self.pending[(proxy, taken.key)] = session
@@ -330,8 +337,8 @@
     def local(
         self,
         proxy: str,
-        before: sessions.Transacting | None,
-        taken: sessions.Local,
+        before: sessions.OpenTransaction | None,
+        taken: sessions.LocalAnswer,
     ) -> None:
         """Note an answer that needed no upstream."""
         if before is None:
@@ -357,7 +364,7 @@
         self.oracle.answered(
             self.now_ms, session, request.statement.request_id, out.outcome
         )
-        sessions.finish(session, request, out.outcome)
+        sessions.record_outcome(session, request, out.outcome)
 
     def is_busy(self, session: sessions.Session) -> bool:
         """Say whether a session waits for an answer."""
@@ -366,7 +373,7 @@
     def leave(self, proxy: str, session: sessions.Session) -> None:
         """Have a caller leave in the middle of whatever it does."""
         transaction = session.transaction
-        key = sessions.lose_transaction(session)
+        key = sessions.fail_transaction(session)
         if transaction is not None:
             writes = self.oracle.open_writes.pop(transaction.key, [])
             self.oracle.denied.update(writes)
--- a/topazring/core/synchronous/tests/support.py
+++ b/topazring/core/synchronous/tests/support.py
@@ -42,8 +42,8 @@
             raise AssertionError(f'after {message}: {broken}')
         self.outs += outs
         for out in outs:
-            if isinstance(out, messages.ReadList) and self.reads_list:
-                return outs + self.post(messages.ListRead(out.token))
+            if isinstance(out, messages.ReadUpstreamList) and self.reads_list:
+                return outs + self.post(messages.UpstreamListRead(out.token))
         return outs
 
     def tick(self, after_ms: int, paused_ms: int = 0) -> list:
@@ -61,7 +61,7 @@
         return self.post(
             messages.UpstreamsSeen(
                 tuple(
-                    messages.Listed(
+                    messages.ListedUpstream(
                         name,
                         f'{name}:1',
                         more.get('centres', {}).get(name, 'here'),
@@ -94,7 +94,7 @@
         self.list_upstreams(**more)
         self.open_all()
         self.tick(40)
-        self.answer_guards()
+        self.answer_leadership_checks()
         return self
 
     def busy(self, upstream: str = '') -> list[states.Connection]:
@@ -111,19 +111,19 @@
         (number,) = self.state.work[key].running
         return self.state.connections[number]
 
-    def answer_guards(self, primary: str = 'u1') -> list:
+    def answer_leadership_checks(self, primary: str = 'u1') -> list:
         """Answer all guards and looks; only the primary leads."""
         outs = []
         for connection in self.busy():
             if connection.upstream == 'u1' and not primary:
                 # It is lost.
                 continue
-            if connection.errand is states.Errand.LOOK:
+            if connection.purpose is states.Purpose.STATUS_QUERY:
                 leads = connection.upstream == primary
                 role = Role.PRIMARY if leads else Role.REPLICA
                 outs += self.reply(connection, report(role, held_term=0))
                 continue
-            if connection.errand is not states.Errand.GUARD:
+            if connection.purpose is not states.Purpose.LEADERSHIP_CHECK:
                 continue
             replies = (refused(statements.Code.READ_ONLY), ok())
             if connection.upstream == primary:
@@ -196,15 +196,15 @@
     return [out for out in outs if isinstance(out, messages.Send)]
 
 
-def decided(outs: list, what: str) -> list:
+def decisions(outs: list, what: str) -> list:
     """Return what went into the decisions of one kind."""
     return [
         out.inputs
         for out in outs
-        if isinstance(out, messages.Decided) and out.what == what
+        if isinstance(out, messages.LogDecision) and out.what == what
     ]
 
 
-def orders(outs: list) -> list[messages.Order]:
+def orders(outs: list) -> list[messages.OrderPromotion]:
     """Return the orders to the platform."""
-    return [out for out in outs if isinstance(out, messages.Order)]
+    return [out for out in outs if isinstance(out, messages.OrderPromotion)]
--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -42,7 +42,7 @@
             {
                 c.upstream
                 for c in driver.busy()
-                if c.errand is states.Errand.LOOK
+                if c.purpose is states.Purpose.STATUS_QUERY
             },
         )
 
@@ -130,7 +130,7 @@
         """
         driver = support.Driver().ready()
         driver.now_ms += 400
-        outs = driver.post(messages.DutySeen(True, 100))
+        outs = driver.post(messages.PromotionLeaseSeen(True, 100))
         for _ in range(20):
             outs += driver.tick(20)
             outs += proof_support.answer_leadership_checks(
@@ -139,7 +139,7 @@
         self.assertEqual([], support.orders(outs))
         for _ in range(20):
             outs += driver.tick(20)
-            outs += driver.answer_guards()
+            outs += driver.answer_leadership_checks()
         self.assertEqual(['u1'], [o.upstream for o in support.orders(outs)])
 
 
@@ -210,6 +210,6 @@
         (connection,) = [
             connection
             for connection in driver.busy(name)
-            if connection.errand is states.Errand.CONTROL
+            if connection.purpose is states.Purpose.CONTROL
         ]
         return connection
--- a/topazring/core/synchronous/tests/test_concurrency_limit.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -21,9 +21,9 @@
     for name in ('u2', 'u3'):
         upstream = driver.state.upstreams[name]
         upstream.place = Place(1, 1)
-        upstream.lacked = Place(1, 2)
-        upstream.lacked_ms = driver.now_ms
-        upstream.lacked_pause_ms = 10_000
+        upstream.missing_place = Place(1, 2)
+        upstream.lagging_ms = driver.now_ms
+        upstream.lagging_pause_ms = 10_000
     return driver
 
 
@@ -42,7 +42,7 @@
         """
         driver = late_replicas()
         driver.state.upstreams['u1'].service_ms = 100.0
-        driver.state.upstreams['u1'].kept_ms = 100.0
+        driver.state.upstreams['u1'].hold_ms = 100.0
         refused = []
         for _ in range(20):
             key, outs = driver.submit(support.BOUNDED)
@@ -68,7 +68,7 @@
         wait from how long statements take.
         """
         driver = support.Driver().ready()
-        driver.state.upstreams['u1'].kept_ms = 500.0
+        driver.state.upstreams['u1'].hold_ms = 500.0
         for _ in range(2):
             driver.submit(support.EXACT, Verb.WRITE)
         driver.submit(support.EXACT, Verb.WRITE)
@@ -85,16 +85,16 @@
         driver.reply(connection, support.ok())
         in_transaction = statements.SessionState.IN_TRANSACTION
         driver.reply(connection, support.ok('signed', state=in_transaction))
-        before_ms = upstream.kept_ms
+        before_ms = upstream.hold_ms
         driver.now_ms += 1000
         driver.submit(support.EXACT, Verb.COMMIT, transaction=7, writes=False)
         driver.reply(connection, support.ok('signed'))
-        self.assertGreater(upstream.kept_ms, before_ms + 50)
+        self.assertGreater(upstream.hold_ms, before_ms + 50)
 
     def test_first_in_line_is_never_refused(self):
         """Otherwise connections would be idle between two requests."""
         driver = support.Driver().ready()
-        driver.state.upstreams['u1'].kept_ms = 5000.0
+        driver.state.upstreams['u1'].hold_ms = 5000.0
         for _ in range(3):
             _, outs = driver.submit(support.EXACT, Verb.WRITE)
             self.assertEqual({}, support.answers(outs))
@@ -122,7 +122,7 @@
     def test_less_at_work_where_statements_queue(self):
         """Down to one, never to none."""
         state = self.slowed(40, 130.0)
-        self.assertEqual(1, round(state.upstreams['u1'].most_busy))
+        self.assertEqual(1, round(state.upstreams['u1'].concurrency_limit))
         self.assertTrue(
             concurrency_limit.has_capacity(
                 state, 10_000, state.upstreams['u1']
@@ -136,17 +136,17 @@
         for _ in range(60):
             upstream.service_ms = 15.0
             concurrency_limit.adjust_limit(state, upstream)
-        self.assertEqual(4, round(upstream.most_busy))
+        self.assertEqual(4, round(upstream.concurrency_limit))
 
     def test_slow_by_nature_is_no_queue(self):
         """Statements that always take long are the upstream's quick time."""
         state = self.slowed(3000, 130.0)
-        self.assertEqual(4, round(state.upstreams['u1'].most_busy))
+        self.assertEqual(4, round(state.upstreams['u1'].concurrency_limit))
 
     def test_urgent_goes_next(self):
         """The line is here, so it is served in the order of priorities."""
         driver = support.Driver(share=2).ready()
-        driver.state.upstreams['u1'].most_busy = 1.0
+        driver.state.upstreams['u1'].concurrency_limit = 1.0
         low = dataclasses.replace(support.EXACT, priority=2)
         for _ in range(2):
             driver.submit(low)
@@ -164,13 +164,13 @@
         long as its answer is waited for. Proof: read in the code.
         """
         driver = support.Driver(share=2).ready()
-        driver.state.upstreams['u1'].most_busy = 1.0
+        driver.state.upstreams['u1'].concurrency_limit = 1.0
         driver.submit(support.EXACT, Verb.WRITE)
         lost = next(c for c in driver.busy('u1') if c.work)
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         for _ in range(10):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         (running,) = [c for c in driver.busy('u1') if c.work == key]
         self.assertNotEqual(lost.number, running.number)
 
--- a/topazring/core/synchronous/tests/test_confirmations.py
+++ b/topazring/core/synchronous/tests/test_confirmations.py
@@ -96,14 +96,14 @@
         """
         driver = self.confirmed()
         driver.state.successor_gone = True
-        driver.state.over_term = 1
-        driver.state.over_ms = driver.now_ms
+        driver.state.ended_term = 1
+        driver.state.term_ended_ms = driver.now_ms
         test_isolation.run_for(driver, 40, 'u1', 'u4', received=WITH)
         self.assertIsNone(self.outcome(driver))
         member = driver.state.upstreams['u4']
         asked_ms = driver.now_ms
         confirmations.note_log_position(member, asked_ms, WITHOUT)
-        driver.state.over_ms = states.NEVER_MS
+        driver.state.term_ended_ms = states.NEVER_MS
         driver.tick(20)
         self.assertIsInstance(self.outcome(driver), outcomes.Done)
 
@@ -151,7 +151,7 @@
         driver = support.Driver().ready()
         key, _ = driver.submit(verb=WRITE)
         driver.tick(20)
-        driver.answer_guards()
+        driver.answer_leadership_checks()
         outs = confirm(driver, key)
         self.assertNotIn(key, support.answers(outs))
         said = {'received': WITH, 'term': 1, 'held_term': 0}
@@ -224,7 +224,7 @@
         driver.reply(connection, support.ok())
         driver.reply(connection, support.ok('signed'))
         driver.tick(20)
-        driver.answer_guards()
+        driver.answer_leadership_checks()
         driver.tick(20)
         commit, _ = driver.submit(
             verb=support.Verb.COMMIT, transaction=7, writes=True
@@ -300,4 +300,6 @@
         test_isolation.run_for(driver, 400, 'u1', 'u4', held_term=2)
         second, outs = driver.submit(verb=WRITE)
         self.assertIsInstance(support.answers(outs)[second], outcomes.NotRun)
-        self.assertNotIn(messages.Order, [type(out) for out in driver.outs])
+        self.assertNotIn(
+            messages.OrderPromotion, [type(out) for out in driver.outs]
+        )
--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -73,7 +73,7 @@
         driver.open_all()
         for _ in range(20):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         outcome = write(driver, 'u2', 'u3')
         self.assertNotIsInstance(outcome, outcomes.Done)
 
@@ -84,14 +84,14 @@
         outs = []
         for _ in range(10):
             outs += driver.tick(20)
-            outs += driver.answer_guards()
+            outs += driver.answer_leadership_checks()
             outs += failover_support.answer_control_commands(driver)
-        begun = support.decided(outs, 'promotion begins')
+        begun = support.decisions(outs, 'promotion begins')
         whys = [inputs['why'] for inputs in begun]
         self.assertEqual(['its successor is gone'], whys)
         (order,) = support.orders(outs)
         driver.post(
-            messages.Ordered(
+            messages.PromotionOrdered(
                 order.upstream, order.token, messages.OrderResult.ACCEPTED
             )
         )
@@ -125,7 +125,7 @@
         """The entry was late: who is named there follows the primary."""
         driver = self.contested()
         driver.tick(400)
-        driver.answer_guards()
+        driver.answer_leadership_checks()
         self.assertIsInstance(write(driver, 'u2', 'u3'), outcomes.Done)
 
     def test_primary_that_went_dark_contests_nothing(self):
@@ -139,10 +139,12 @@
             failover_support.answer_control_commands(driver)
         )
         accepted = messages.OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, order.token, accepted))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, accepted)
+        )
         driver.list_upstreams(primary='u2', revision=2)
         driver.tick(20)
-        driver.answer_guards(primary='u2')
+        driver.answer_leadership_checks(primary='u2')
         key, _ = driver.submit(verb=WRITE)
         said = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
         proof_support.answer_status_queries(driver, 'u3', **said)
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from topazring.core.synchronous import departures
+from topazring.core.synchronous import departed_members
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous.tests import failover_support
@@ -17,25 +17,25 @@
 
     def test_unknown_until_the_primary_has_said_its_place(self):
         """A place from before the departure bounds nothing."""
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.note_primary(999, Place(1, 7))
+        departed.record_primary_place(999, Place(1, 7))
         high = Place(9, 9)
         self.assertEqual(['u3'], departed.may_exceed(1000, high, NOBODY))
 
     def test_bounded_by_the_first_place_after_it(self):
         """What was written later the departed one cannot have."""
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.note_primary(1001, Place(1, 7))
-        departed.note_primary(1100, Place(1, 9))
+        departed.record_primary_place(1001, Place(1, 7))
+        departed.record_primary_place(1100, Place(1, 9))
         below, enough = Place(1, 6), Place(1, 7)
         self.assertEqual(['u3'], departed.may_exceed(1200, below, NOBODY))
         self.assertEqual([], departed.may_exceed(1200, enough, NOBODY))
 
     def test_one_that_is_back_can_be_asked(self):
         """It answers for itself again."""
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         departed.remove('u3')
         low = Place(0, 0)
@@ -43,9 +43,9 @@
 
     def test_one_that_is_gone_for_good_is_forgotten(self):
         """A group must not stay without a primary for it."""
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        later_ms = 1000 + departures.KEPT_MS
+        later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS
         low = Place(0, 0)
         self.assertEqual([], departed.may_exceed(later_ms, low, NOBODY))
 
@@ -57,11 +57,11 @@
         crashes; the primary goes on for five seconds and crashes; the other
         is promoted. Cause: forgetting the first after three seconds.
         """
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.note_primary(1001, Place(1, 7))
+        departed.record_primary_place(1001, Place(1, 7))
         below = Place(1, 6)
-        later_ms = 1000 + departures.KEPT_MS + 2000
+        later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS + 2000
         self.assertEqual(['u3'], departed.may_exceed(later_ms, below, NOBODY))
 
     def test_nothing_to_wait_for_once_the_primary_left_as_well(self):
@@ -72,7 +72,7 @@
         hand-over was possible; nobody is promoted, for the replica may have
         had more. Cause: waiting for those that said they would not be back.
         """
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u1', left=True)
         departed.add(1000, 'u3', left=True)
         low, primaries = Place(0, 0), frozenset({'u1'})
@@ -80,7 +80,7 @@
 
     def test_paused_one_had_no_more_than_it_said(self):
         """It confirmed nothing after its report."""
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True, paused_at=Place(1, 5))
         enough = Place(1, 5)
         self.assertEqual([], departed.may_exceed(1100, enough, NOBODY))
@@ -91,8 +91,8 @@
 
     def test_first_place_bounds_what_they_may_have_had(self):
         """For a moment nobody follows who lacks it."""
-        departed = departures.Departures()
-        departed.begin(1000, Place(1, 7))
+        departed = departed_members.DepartedMembers()
+        departed.record_first_place(1000, Place(1, 7))
         low = Place(1, 6)
         self.assertTrue(departed.may_exceed(1100, low, NOBODY))
         self.assertEqual([], departed.may_exceed(1100, Place(1, 7), NOBODY))
@@ -112,12 +112,12 @@
         for connection in driver.busy('u1'):
             hanging = support.ok(place=Place(1, 9))
             driver.reply(connection, hanging, hanging)
-        driver.answer_guards()
-        self.assertEqual('u1', driver.state.proven)
+        driver.answer_leadership_checks()
+        self.assertEqual('u1', driver.state.proven_primary)
         floor = driver.state.acknowledged
         self.assertLess(floor, Place(1, 9))
-        later_ms = driver.now_ms + departures.KEPT_MS
-        waited_for = driver.state.departures.may_exceed(
+        later_ms = driver.now_ms + departed_members.UNBOUNDED_WAIT_MS
+        waited_for = driver.state.departed_members.may_exceed(
             later_ms, Place(1, 5), NOBODY
         )
         self.assertEqual([], waited_for)
@@ -147,7 +147,7 @@
         driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
         driver.tick(120)
-        driver.answer_guards()
+        driver.answer_leadership_checks()
         outs = failover_support.lose_primary(driver)
         outs += failover_support.answer_control_commands(driver)
         (order,) = support.orders(outs)
@@ -168,9 +168,9 @@
         for _ in range(50):
             driver.tick(20)
             for connection in driver.busy('u1'):
-                if connection.errand is states.Errand.GUARD:
+                if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
                     driver.reply(connection, ahead, ahead)
-            driver.answer_guards(primary='')
+            driver.answer_leadership_checks(primary='')
             if driver.state.promotion is not None:
                 break
         outs: list = []
@@ -178,7 +178,7 @@
             outs += failover_support.answer_control_commands(
                 driver, u1=Place(1, 9)
             )
-        orders = [o for o in outs if isinstance(o, messages.Order)]
+        orders = [o for o in outs if isinstance(o, messages.OrderPromotion)]
         self.assertEqual([], [o for o in orders if o.upstream != 'u1'])
 
 
@@ -253,9 +253,9 @@
         that left. Proof, from walk 6110: both members are at 2.7, all that is
         acknowledged; u3 left at 3.9; ten attempts end with nobody to follow.
         """
-        departed = departures.Departures()
+        departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True)
-        departed.note_primary(1001, Place(3, 9))
+        departed.record_primary_place(1001, Place(3, 9))
         departed.add(1100, 'u1', left=True, born_ms=7)
         low, primaries = Place(2, 7), frozenset({'u1'})
         self.assertEqual([], departed.may_exceed(1200, low, primaries))
@@ -263,7 +263,7 @@
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
         (gone,) = [
             departure
-            for departure in driver.state.departures.known.values()
+            for departure in driver.state.departed_members.known.values()
             if departure.name == 'u1'
         ]
         self.assertTrue(gone.left)
@@ -292,7 +292,7 @@
                 leaving='u3',
                 born_ms=born,
             )
-        waited_for = driver.state.departures.may_exceed(
+        waited_for = driver.state.departed_members.may_exceed(
             driver.now_ms, Place(1, 5), frozenset({'u2'})
         )
         self.assertEqual(['u3'], waited_for)
@@ -331,7 +331,7 @@
         outs = []
         for _ in range(5):
             for connection in driver.busy('u2') + driver.busy('u3'):
-                if connection.errand is states.Errand.CONTROL:
+                if connection.purpose is states.Purpose.CONTROL:
                     paused = support.report(held_term=2)
                     outs += driver.reply(connection, paused)
             outs += driver.tick(20)
@@ -348,7 +348,7 @@
         empty log of the one that began again for the last primary's.
         """
         driver = self.begun_again_as_a_replica()
-        driver.state.departures.add(driver.now_ms, 'u4')
+        driver.state.departed_members.add(driver.now_ms, 'u4')
         outs = []
         for _ in range(5):
             outs += failover_support.answer_control_commands(
--- a/topazring/core/synchronous/tests/test_failure_detection.py
+++ b/topazring/core/synchronous/tests/test_failure_detection.py
@@ -27,7 +27,7 @@
             c for c in driver.state.connections.values() if c.upstream == 'u1'
         )
         silent.phase = states.Phase.BUSY
-        silent.errand = states.Errand.GUARD
+        silent.purpose = states.Purpose.LEADERSHIP_CHECK
         silent.commands = (statements.Begin(), statements.Rollback())
         silent.sent_ms = driver.now_ms
         for _ in range(40):
@@ -51,7 +51,7 @@
         """An upstream at its connection limit lives."""
         driver = support.Driver()
         driver.list_upstreams()
-        driver.post(messages.DutySeen(True, 100))
+        driver.post(messages.PromotionLeaseSeen(True, 100))
         limit = outcomes.Reason.CONNECTION_LIMIT
         for _ in range(60):
             driver.tick(20)
@@ -69,16 +69,16 @@
         for _ in range(50):
             driver.tick(20)
             for connection in driver.busy('u1'):
-                if connection.errand is states.Errand.GUARD:
+                if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
                     ahead = support.ok(place=Place(1, 9))
                     driver.reply(connection, ahead, ahead)
-            driver.answer_guards(primary='')
+            driver.answer_leadership_checks(primary='')
             if driver.state.promotion is not None:
                 break
         failover_support.answer_control_commands(
             driver, u1=Place(1, 9), u2=received, u3=received
         )
-        driver.answer_guards(primary='')
+        driver.answer_leadership_checks(primary='')
         # Members whose connections were at work are asked by the next tick.
         driver.tick(20)
         return driver
--- a/topazring/core/synchronous/tests/test_forwarding.py
+++ b/topazring/core/synchronous/tests/test_forwarding.py
@@ -90,7 +90,7 @@
         """It promotes, so it has to ask them, owner or not."""
         driver = support.Driver()
         driver.post(messages.InstancesSeen(5, 23, None))
-        driver.post(messages.DutySeen(True, 100))
+        driver.post(messages.PromotionLeaseSeen(True, 100))
         driver.list_upstreams()
         driver.open_all()
         held = {c.upstream for c in driver.state.connections.values()}
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from topazring.core.synchronous import known_places
 from topazring.core.synchronous import messages
+from topazring.core.synchronous import position_records
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import failover_support
@@ -46,7 +46,9 @@
             failover_support.answer_control_commands(driver)
         )
         accepted = OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, order.token, accepted))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, accepted)
+        )
         names = ('u1', 'u2', 'u3', 'u4')
         driver.list_upstreams(names=names, leaving='u1')
         driver.open_all()
@@ -103,7 +105,7 @@
             paused |= failover_support.command_targets(
                 driver, statements.Pause
             )
-            driver.answer_guards(primary='')
+            driver.answer_leadership_checks(primary='')
         self.assertIn('u3', paused)
 
     def test_successor_catches_up_first(self):
@@ -155,7 +157,7 @@
             outs = driver.list_upstreams(
                 names=names, leaving='u1', revision=3, born_ms=born
             )
-            ended = support.decided(outs, 'promotion ended')
+            ended = support.decisions(outs, 'promotion ended')
             hows = [inputs['how'] for inputs in ended]
             self.assertEqual(['lost meanwhile'], hows)
             self.assertEqual([], support.orders(outs))
@@ -173,16 +175,18 @@
         0.0.
         """
         driver = self.leaving()
-        driver.state.start = known_places.Start('u1', Place(1, 7))
+        driver.state.primary_start = position_records.PrimaryStart(
+            'u1', Place(1, 7)
+        )
         outs = failover_support.answer_control_commands(driver)
-        driver.answer_guards()
+        driver.answer_leadership_checks()
         driver.tick(40)
         outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
         places = {'u2': Place(1, 7), 'u3': Place(1, 7)}
         for _ in range(10):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             outs += failover_support.answer_control_commands(driver, **places)
         self.assertEqual(1, len(support.orders(outs)))
 
@@ -201,9 +205,9 @@
         heir = driver.state.promotion.successor
         for _ in range(50):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             for connection in driver.busy(heir):
-                if connection.errand is states.Errand.CONTROL:
+                if connection.purpose is states.Purpose.CONTROL:
                     driver.reply(connection, support.report(held_term=0))
         return driver
 
@@ -225,7 +229,7 @@
         ]
         outs = driver.reply(demoting, support.report(received=Place(1, 5)))
         for connection in driver.busy(heir):
-            if connection.errand is states.Errand.CONTROL:
+            if connection.purpose is states.Purpose.CONTROL:
                 outs += driver.reply(connection, support.report())
         (order,) = support.orders(outs)
         self.assertEqual(heir, order.upstream)
@@ -240,7 +244,7 @@
         outs = []
         for _ in range(60):
             for connection in driver.busy():
-                if connection.errand is states.Errand.GUARD:
+                if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
                     outs += driver.reply(connection, not_leading, support.ok())
                 elif connection.upstream == 'u1':
                     outs += driver.reply(connection, ahead)
@@ -263,7 +267,7 @@
         driver.submit()
         for _ in range(25):
             driver.tick(20)
-            driver.answer_guards(primary='')
+            driver.answer_leadership_checks(primary='')
             for connection in list(driver.state.connections.values()):
                 opening = connection.phase is states.Phase.OPENING
                 if opening and connection.upstream != 'u1':
@@ -274,7 +278,7 @@
             )
             for order in support.orders(said):
                 driver.post(
-                    messages.Ordered(
+                    messages.PromotionOrdered(
                         order.upstream, order.token, OrderResult.ACCEPTED
                     )
                 )
--- a/topazring/core/synchronous/tests/test_isolation.py
+++ b/topazring/core/synchronous/tests/test_isolation.py
@@ -19,7 +19,7 @@
         if connection.commands == exchanges.STATUS_QUERY:
             said = {'held_term': 0, **said}
             driver.reply(connection, support.report(**said))
-        if connection.errand is not states.Errand.GUARD:
+        if connection.purpose is not states.Purpose.LEADERSHIP_CHECK:
             continue
         first = support.ok()
         if connection.upstream != 'u1':
--- a/topazring/core/synchronous/tests/test_listing.py
+++ b/topazring/core/synchronous/tests/test_listing.py
@@ -18,7 +18,9 @@
     """Return an upstream's entry."""
     return listings.UpstreamRecord(
         's',
-        messages.Listed('u1', 'a:1', 'here', Role.REPLICA, revision, leaving),
+        messages.ListedUpstream(
+            'u1', 'a:1', 'here', Role.REPLICA, revision, leaving
+        ),
     )
 
 
--- a/topazring/core/synchronous/tests/test_load.py
+++ b/topazring/core/synchronous/tests/test_load.py
@@ -69,7 +69,7 @@
         outs = []
         for _ in range(4):
             outs += driver.reply(driver.busy('u1')[0], support.ok('s'))
-            outs += driver.answer_guards()
+            outs += driver.answer_leadership_checks()
         self.assertIn(key, support.answers(outs))
 
     def test_full_upstream_is_left_alone_for_a_moment(self):
@@ -92,7 +92,7 @@
         driver = support.Driver().ready()
         driver.state.primary = ''
         driver.state.primary_lost_ms = driver.now_ms - for_ms
-        driver.state.gap_ms = 1000.0
+        driver.state.typical_outage_ms = 1000.0
         return driver
 
     def test_waits_for_a_primary_that_comes_in_time(self):
@@ -134,7 +134,7 @@
         driver.list_upstreams(leaving='u1', revision=2)
         for _ in range(325):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             driver.open_all()
         key, outs = driver.submit(verb=support.Verb.WRITE)
         outcome = support.answers(outs)[key]
@@ -233,13 +233,17 @@
         driver = support.Driver(share=0)
         driver.post(messages.InstancesSeen(8, 88, None))
         driver.list_upstreams()
-        self.assertEqual(group.RESTING_TICK_MS, group.tick_ms(driver.state))
-        driver.post(messages.DutySeen(True, 7))
-        self.assertEqual(group.TICK_MS, group.tick_ms(driver.state))
+        self.assertEqual(
+            group.RESTING_TICK_MS, group.tick_interval_ms(driver.state)
+        )
+        driver.post(messages.PromotionLeaseSeen(True, 7))
+        self.assertEqual(group.TICK_MS, group.tick_interval_ms(driver.state))
         owner = support.Driver().ready()
-        self.assertEqual(group.TICK_MS, group.tick_ms(owner.state))
+        self.assertEqual(group.TICK_MS, group.tick_interval_ms(owner.state))
         owner.submit(support.EXACT)
-        self.assertEqual(group.BUSY_TICK_MS, group.tick_ms(owner.state))
+        self.assertEqual(
+            group.BUSY_TICK_MS, group.tick_interval_ms(owner.state)
+        )
 
     def test_rest_is_no_pause(self):
         """A message between two of its rare ticks wakes nobody."""
@@ -248,7 +252,7 @@
         driver.list_upstreams()
         driver.post(messages.Tick())
         driver.now_ms += group.RESTING_TICK_MS + 40
-        outs = driver.post(messages.DutySeen(False))
+        outs = driver.post(messages.PromotionLeaseSeen(False))
         self.assertEqual([], outs)
 
     def test_silent_dial_is_given_up(self):
@@ -264,7 +268,7 @@
         """Nobody waits for a group that is configured no more."""
         driver = support.Driver().ready()
         keys = [driver.submit(support.EXACT)[0] for _ in range(5)]
-        answers = support.answers(driver.post(messages.Abandon()))
+        answers = support.answers(driver.post(messages.Shutdown()))
         self.assertEqual(set(keys), set(answers))
 
 
@@ -291,4 +295,4 @@
             [Reason.BACKLOG], [a.reason for a in answers.values()]
         )
         (waiting,) = {first, second} - set(answers)
-        self.assertTrue(driver.state.work[waiting].queued)
+        self.assertTrue(driver.state.work[waiting].is_queued)
--- a/topazring/core/synchronous/tests/test_lost_answers.py
+++ b/topazring/core/synchronous/tests/test_lost_answers.py
@@ -32,7 +32,7 @@
         outs = []
         for _ in range(for_ms // 20):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         return outs
 
     def dials(self, outs: list) -> list[int]:
@@ -104,7 +104,7 @@
         copies = []
         while not copies:
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             copies = [
                 c for c in driver.busy() if c.work == key and c is not first
             ]
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -241,7 +241,7 @@
         driver = self.lost()
         outs = failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
-        outs = driver.post(messages.ListRead(self.token(driver)))
+        outs = driver.post(messages.UpstreamListRead(self.token(driver)))
         self.assertEqual(1, len(support.orders(outs)))
 
     def test_newcomer_that_alone_holds_a_write_is_chosen(self):
@@ -250,7 +250,7 @@
         failover_support.answer_control_commands(driver)
         driver.list_upstreams(primary='', names=FOUR, revision=2)
         driver.open_all()
-        outs = driver.post(messages.ListRead(self.token(driver)))
+        outs = driver.post(messages.UpstreamListRead(self.token(driver)))
         self.assertEqual([], support.orders(outs))
         outs = failover_support.answer_control_commands(driver, u4=WITH)
         (order,) = support.orders(outs)
@@ -261,9 +261,11 @@
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         token = self.token(driver)
-        (order,) = support.orders(driver.post(messages.ListRead(token)))
+        (order,) = support.orders(
+            driver.post(messages.UpstreamListRead(token))
+        )
         accepted = messages.OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, token, accepted))
+        driver.post(messages.PromotionOrdered(order.upstream, token, accepted))
         driver.tick(60)
         proof_support.answer_leadership_checks(
             driver, order.upstream, support.ok()
@@ -281,14 +283,20 @@
         """Guards against an order by one that hears of nothing new."""
         driver = self.lost()
         failover_support.answer_control_commands(driver)
-        outs = driver.post(messages.ListRead(self.token(driver), False))
+        outs = driver.post(
+            messages.UpstreamListRead(self.token(driver), False)
+        )
         self.assertEqual([], support.orders(outs))
         for _ in range(60):
             outs += driver.tick(20) + failover_support.answer_control_commands(
                 driver
             )
         self.assertEqual([], support.orders(outs))
-        yields = [out for out in outs if isinstance(out, messages.YieldDuty)]
+        yields = [
+            out
+            for out in outs
+            if isinstance(out, messages.YieldPromotionLease)
+        ]
         self.assertEqual('the list cannot be read', yields[0].why)
 
     def test_order_is_repeated_only_on_a_new_list(self):
@@ -296,10 +304,14 @@
         driver = self.lost()
         failover_support.answer_control_commands(driver)
         token = self.token(driver)
-        (order,) = support.orders(driver.post(messages.ListRead(token)))
+        (order,) = support.orders(
+            driver.post(messages.UpstreamListRead(token))
+        )
         driver.now_ms += 900
         lost = messages.OrderResult.UNANSWERED
-        outs = driver.post(messages.Ordered(order.upstream, token, lost))
+        outs = driver.post(
+            messages.PromotionOrdered(order.upstream, token, lost)
+        )
         self.assertEqual([], support.orders(outs))
 
 
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -77,7 +77,7 @@
         failover_support.lose_primary(driver)
         outs = []
         for connection in driver.busy():
-            if connection.errand is states.Errand.CONTROL:
+            if connection.purpose is states.Purpose.CONTROL:
                 not_held = support.report(term=4, held_term=0)
                 outs += driver.reply(connection, not_held)
         outs += driver.tick(60)
@@ -124,7 +124,7 @@
             failover_support.answer_control_commands(driver)
         )
         outs = driver.post(
-            messages.Ordered(
+            messages.PromotionOrdered(
                 first.upstream, first.token, OrderResult.UNANSWERED
             )
         )
@@ -146,10 +146,12 @@
             failover_support.answer_control_commands(driver)
         )
         unanswered = OrderResult.UNANSWERED
-        driver.post(messages.Ordered(order.upstream, order.token, unanswered))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, unanswered)
+        )
         driver.tick(240)
         for connection in driver.busy():
-            if connection.errand is states.Errand.CONTROL:
+            if connection.purpose is states.Purpose.CONTROL:
                 newer = support.report(term=4, held_term=0)
                 driver.reply(connection, newer)
         driver.tick(20)
@@ -180,9 +182,11 @@
             failover_support.answer_control_commands(driver)
         )
         refused = OrderResult.REFUSED
-        driver.post(messages.Ordered(order.upstream, order.token, refused))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, refused)
+        )
         outs = driver.tick(2000)
-        self.assertFalse(driver.state.holds_duty)
+        self.assertFalse(driver.state.holds_promotion_lease)
         self.assertEqual([], support.orders(outs))
 
     def test_primary_that_is_back_is_left_alone(self):
@@ -219,11 +223,11 @@
             outs = driver.list_upstreams(
                 primary='', revision=2, born_ms={gone: 99}
             )
-            driver.post(messages.Ordered(gone, order.token, result))
+            driver.post(messages.PromotionOrdered(gone, order.token, result))
             for _ in range(10):
                 driver.open_all()
                 outs += driver.tick(20)
-                driver.answer_guards(primary='')
+                driver.answer_leadership_checks(primary='')
                 outs += failover_support.answer_control_commands(
                     driver, **{gone: Place(0, 0)}
                 )
@@ -239,7 +243,9 @@
             failover_support.answer_control_commands(driver, **places)
         )
         accepted = OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, order.token, accepted))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, accepted)
+        )
         driver.list_upstreams(primary='u2', revision=2)
 
     def chosen(self, driver: support.Driver, **places: Place) -> str:
--- a/topazring/core/synchronous/tests/test_promotion_lease.py
+++ b/topazring/core/synchronous/tests/test_promotion_lease.py
@@ -11,9 +11,11 @@
 OrderResult = messages.OrderResult
 
 
-def yielded(outs: list) -> list[messages.YieldDuty]:
+def yielded(outs: list) -> list[messages.YieldPromotionLease]:
     """Return what gives the duty up."""
-    return [out for out in outs if isinstance(out, messages.YieldDuty)]
+    return [
+        out for out in outs if isinstance(out, messages.YieldPromotionLease)
+    ]
 
 
 class DutyTest(testtools.TestCase):
@@ -28,8 +30,8 @@
         out. Cause: nobody used a higher token since.
         """
         driver = support.Driver().ready()
-        driver.post(messages.DutySeen(True, 200))
-        outs = driver.tick(120) + driver.answer_guards()
+        driver.post(messages.PromotionLeaseSeen(True, 200))
+        outs = driver.tick(120) + driver.answer_leadership_checks()
         (order,) = support.orders(outs)
         self.assertEqual('u1', order.upstream)
         self.assertGreater(order.token, 200)
@@ -47,8 +49,8 @@
         driver = support.Driver().ready()
         driver.tick(400)
         driver.now_ms += 3000
-        driver.post(messages.DutySeen(True, 200))
-        outs = driver.answer_guards()
+        driver.post(messages.PromotionLeaseSeen(True, 200))
+        outs = driver.answer_leadership_checks()
         self.assertEqual([], support.orders(outs))
 
     def test_pause_is_noticed_before_the_first_message(self):
@@ -56,14 +58,14 @@
         driver = failover_support.make_lease_holder()
         driver.tick(400)
         driver.now_ms += 3000
-        driver.answer_guards()
-        self.assertFalse(driver.state.holds_duty)
+        driver.answer_leadership_checks()
+        self.assertFalse(driver.state.holds_promotion_lease)
 
     def test_fence_waits_for_proof(self):
         """An order for a primary that does not lead would promote it."""
         driver = support.Driver()
         driver.list_upstreams()
-        outs = driver.post(messages.DutySeen(True, 200))
+        outs = driver.post(messages.PromotionLeaseSeen(True, 200))
         outs += driver.tick(400)
         self.assertEqual([], support.orders(outs))
 
@@ -77,7 +79,7 @@
         """
         driver = failover_support.make_lease_holder()
         driver.tick(20, paused_ms=1500)
-        self.assertFalse(driver.state.holds_duty)
+        self.assertFalse(driver.state.holds_promotion_lease)
 
     def test_holder_that_reaches_no_replica_yields(self):
         """It is on the wrong side of a partition.
@@ -108,14 +110,16 @@
         is carried out. Cause: resuming before the order was fenced off.
         """
         driver = support.Driver().ready()
-        driver.post(messages.DutySeen(True, 100))
+        driver.post(messages.PromotionLeaseSeen(True, 100))
         outs = driver.tick(120)
         self.assertEqual(
             set(), failover_support.command_targets(driver, statements.Resume)
         )
-        (order,) = support.orders(outs + driver.answer_guards())
+        (order,) = support.orders(outs + driver.answer_leadership_checks())
         accepted = OrderResult.ACCEPTED
-        driver.post(messages.Ordered(order.upstream, order.token, accepted))
+        driver.post(
+            messages.PromotionOrdered(order.upstream, order.token, accepted)
+        )
         driver.tick(20)
         self.assertEqual(
             {'u2', 'u3'},
@@ -135,7 +139,7 @@
             confirmations.note_report(upstream, driver.now_ms, paused)
         for _ in range(5):
             outs += driver.tick(20)
-            outs += driver.answer_guards()
+            outs += driver.answer_leadership_checks()
         return outs
 
     def test_yields_where_replicas_are_paused_by_another(self):
@@ -154,7 +158,7 @@
         driver = failover_support.make_lease_holder()
         for _ in range(5):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             failover_support.answer_control_commands(driver)
         self.assertEqual(set(), driver.state.paused)
         outs = self.paused_by_another(driver)
@@ -162,15 +166,15 @@
             ['another promotes'],
             [out.why for out in yielded(outs)],
         )
-        self.assertFalse(driver.state.holds_duty)
+        self.assertFalse(driver.state.holds_promotion_lease)
 
     def test_what_a_holder_before_left_paused(self):
         """A new holder resumes that, and goes on."""
         driver = support.Driver().ready()
-        driver.post(messages.DutySeen(True, 100))
+        driver.post(messages.PromotionLeaseSeen(True, 100))
         outs = self.paused_by_another(driver)
         self.assertEqual([], yielded(outs))
-        self.assertTrue(driver.state.holds_duty)
+        self.assertTrue(driver.state.holds_promotion_lease)
 
     def test_its_own_pauses(self):
         """Those of an attempt of its own, and what that left paused."""
--- a/topazring/core/synchronous/tests/test_proofs.py
+++ b/topazring/core/synchronous/tests/test_proofs.py
@@ -137,7 +137,7 @@
         outs = proof_support.answer_read(driver, key)
         driver.submit(support.EXACT, Verb.WRITE)
         outs += proof_support.answer_status_queries(driver, 'u2', held_term=0)
-        (write,) = [c for c in driver.busy('u1') if c.writing]
+        (write,) = [c for c in driver.busy('u1') if c.is_writing]
         place = support.Place(1, 6)
         outs += driver.reply(write, support.ok('signed', place=place))
         self.assertNotIn(key, support.answers(outs))
@@ -173,7 +173,7 @@
             driver.tick(20)
             proof_support.answer_leadership_checks(driver, 'u1', support.ok())
         for _ in range(3):
-            driver.answer_guards()
+            driver.answer_leadership_checks()
             driver.tick(20)
         key, outs = driver.submit(support.EXACT)
         self.assertNotIn(key, support.answers(outs))
@@ -262,13 +262,13 @@
         driver = support.Driver().ready()
         for _ in range(proofs.ESTABLISHED_AFTER_MS // 20 + 20):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         driver.list_upstreams(primary='u2', revision=2)
         for _ in range(80):
             self.answer_but_the_dark_one(driver, Place(1, 5), witness_term)
         self.assertEqual('u2', driver.state.primary)
         driver.submit(support.EXACT, Verb.WRITE)
-        (write,) = [c for c in driver.busy('u2') if c.writing]
+        (write,) = [c for c in driver.busy('u2') if c.is_writing]
         driver.reply(write, support.ok('signed', place=Place(2, 6)))
         for _ in range(member_queries.WITNESS_SAMPLE_INTERVAL_MS // 20 + 5):
             self.answer_but_the_dark_one(driver, Place(2, 6), witness_term)
@@ -364,7 +364,7 @@
         key, outs = driver.submit(support.EXACT)
         for _ in range(20):
             outs += driver.tick(20)
-            outs += driver.answer_guards(primary='')
+            outs += driver.answer_leadership_checks(primary='')
         self.assertNotIn(key, support.answers(outs))
         self.assertFalse(
             proofs.is_leadership_unproven(driver.state, driver.now_ms)
@@ -378,7 +378,7 @@
         driver.submit(support.EXACT)
         for _ in range(20):
             driver.tick(20)
-            driver.answer_guards(primary='')
+            driver.answer_leadership_checks(primary='')
         looks = [
             send
             for send in support.sends(driver.outs)
--- a/topazring/core/synchronous/tests/test_queue_report.py
+++ b/topazring/core/synchronous/tests/test_queue_report.py
@@ -10,7 +10,7 @@
 
 def told(outs: list) -> list:
     """Return what was told of lines that stand."""
-    return support.decided(outs, 'line stands')
+    return support.decisions(outs, 'line stands')
 
 
 class LineTest(testtools.TestCase):
@@ -27,7 +27,7 @@
         outs = []
         for _ in range(10):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         return driver, outs
 
     def test_names_the_transaction(self):
@@ -43,7 +43,7 @@
         outs = []
         for _ in range(20):
             outs += driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         self.assertEqual([], told(outs))
 
     def test_nothing_while_the_line_moves(self):
--- a/topazring/core/synchronous/tests/test_reads.py
+++ b/topazring/core/synchronous/tests/test_reads.py
@@ -196,12 +196,12 @@
         driver = support.Driver().ready(centres={'u1': 'there', 'u3': 'there'})
         slow = driver.state.upstreams['u2']
         slow.service_ms = 500.0
-        slow.service_told_ms = driver.now_ms
+        slow.service_updated_ms = driver.now_ms
         _, outs = driver.submit(support.BOUNDED)
         self.assertNotIn('u2', sent_to(driver, outs))
         for _ in range(250):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         _, outs = driver.submit(support.BOUNDED)
         self.assertEqual(['u2'], sent_to(driver, outs))
 
@@ -271,7 +271,7 @@
         key, _ = driver.submit(support.EXACT, Verb.WRITE)
         for _ in range(20):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         self.assertEqual(1, len(driver.state.work[key].running))
 
     def test_copy_that_finds_no_connection_costs_nothing(self):
@@ -287,7 +287,7 @@
         before = driver.state.budget.balance
         for _ in range(10):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
         self.assertEqual(before, driver.state.budget.balance)
 
     def test_no_budget_no_hedge(self):
--- a/topazring/core/synchronous/tests/test_sessions.py
+++ b/topazring/core/synchronous/tests/test_sessions.py
@@ -19,7 +19,7 @@
 def say(session: sessions.Session, verb: Verb, **more):
     """Have a session say something; return what becomes of it."""
     said = statements.Statement('r', verb, 'text', **more)
-    return sessions.take(session, 0, 5, said, support.OWN)
+    return sessions.handle_statement(session, 0, 5, said, support.OWN)
 
 
 def fresh() -> sessions.Session:
@@ -34,7 +34,7 @@
         """A caller that pauses after BEGIN holds nothing."""
         session = fresh()
         taken = say(session, Verb.BEGIN)
-        self.assertIsInstance(taken, sessions.Local)
+        self.assertIsInstance(taken, sessions.LocalAnswer)
         self.assertEqual(SessionState.IN_TRANSACTION, session.state)
 
     def test_first_statement_begins(self):
@@ -43,7 +43,7 @@
         say(session, Verb.BEGIN)
         request = say(session, Verb.READ)
         self.assertTrue(request.begins)
-        sessions.finish(session, request, outcomes.Done([], None))
+        sessions.record_outcome(session, request, outcomes.Done([], None))
         self.assertFalse(say(session, Verb.READ).begins)
 
     def test_failed_transaction_takes_only_its_end(self):
@@ -52,7 +52,7 @@
         say(session, Verb.BEGIN)
         request = say(session, Verb.WRITE)
         lost = outcomes.NotRun(outcomes.Reason.TRANSACTION_LOST, 0)
-        sessions.finish(session, request, lost)
+        sessions.record_outcome(session, request, lost)
         refused = say(session, Verb.READ)
         self.assertIsInstance(refused.outcome, outcomes.Rejected)
         self.assertIsInstance(
@@ -87,7 +87,7 @@
         self.assertEqual(0, say(session, Verb.ROLLBACK).ends)
         say(session, Verb.BEGIN)
         request = say(session, Verb.READ)
-        sessions.finish(session, request, outcomes.Done([], None))
+        sessions.record_outcome(session, request, outcomes.Done([], None))
         self.assertEqual(5, say(session, Verb.ROLLBACK).ends)
 
     def test_change_of_a_route_waits_for_the_next_transaction(self):
@@ -96,7 +96,7 @@
         say(session, Verb.BEGIN)
         changed = messages.Policy('own', 't', messages.Freshness.PRIMARY)
         said = statements.Statement('r', Verb.READ, 'text')
-        request = sessions.take(session, 0, 5, said, changed)
+        request = sessions.handle_statement(session, 0, 5, said, changed)
         self.assertEqual('s', request.policy.service)
 
     def test_commit_moves_the_session_on(self):
@@ -104,7 +104,7 @@
         session = fresh()
         request = say(session, Verb.WRITE)
         done = outcomes.Done([], log_positions.LogPosition(2, 7))
-        sessions.finish(session, request, done)
+        sessions.record_outcome(session, request, done)
         self.assertEqual(
             log_positions.LogPosition(2, 7),
             say(session, Verb.READ).session_place,
@@ -113,7 +113,7 @@
     def test_dropped_database(self):
         """There is no such database any more."""
         said = statements.Statement('r', Verb.READ, 'text')
-        taken = sessions.take(fresh(), 0, 5, said, None)
+        taken = sessions.handle_statement(fresh(), 0, 5, said, None)
         self.assertEqual(
             outcomes.Reason.UNKNOWN_DATABASE, taken.outcome.reason
         )
--- a/topazring/core/synchronous/tests/test_shares.py
+++ b/topazring/core/synchronous/tests/test_shares.py
@@ -80,7 +80,7 @@
         """Let time pass in a calm group."""
         for _ in range(for_ms // 20):
             driver.tick(20)
-            driver.answer_guards()
+            driver.answer_leadership_checks()
 
     def shut_out(self) -> support.Driver:
         """Have the only upstream refuse the first connection."""
--- a/topazring/core/synchronous/tests/test_withdrawals.py
+++ b/topazring/core/synchronous/tests/test_withdrawals.py
@@ -73,7 +73,7 @@
         )
         self.driver.tick(40)
         self.driver.reply(connection, in_transaction('s'))
-        self.assertIs(states.Errand.UNDOING, connection.errand)
+        self.assertIs(states.Purpose.ABORT, connection.purpose)
         self.driver.reply(connection)
         self.assertTrue(self.serves_another())
 
@@ -119,14 +119,14 @@
         (connection,) = [c for c in self.driver.busy('u1') if c.work]
         self.withdraw()
         self.driver.reply(connection, in_transaction('-'))
-        self.assertIs(states.Errand.UNDOING, connection.errand)
+        self.assertIs(states.Purpose.ABORT, connection.purpose)
         self.assertEqual({}, self.driver.state.transactions)
 
     def test_between_two_statements(self):
         """One that waits for its caller is rolled back at once."""
         connection = self.open_transaction()
         self.withdraw()
-        self.assertIs(states.Errand.UNDOING, connection.errand)
+        self.assertIs(states.Purpose.ABORT, connection.purpose)
 
 
 def in_transaction(signature: str) -> statements.Reply:
--- a/topazring/core/synchronous/tests/upstream_side.py
+++ b/topazring/core/synchronous/tests/upstream_side.py
@@ -289,7 +289,9 @@
 
     # ---- promotion ----
 
-    def order_promotion(self, proxy: str, out: messages.Order) -> None:
+    def order_promotion(
+        self, proxy: str, out: messages.OrderPromotion
+    ) -> None:
         """Take an order; it may be late, or its answer may be lost."""
         how = self.rng.random()
         if how < 0.1:
@@ -302,21 +304,29 @@
             return
         self.at(self.delay(), self.answer_order, proxy, out)
 
-    def answer_order(self, proxy: str, out: messages.Order) -> None:
+    def answer_order(self, proxy: str, out: messages.OrderPromotion) -> None:
         """Carry an order out and answer it."""
         result = self.promote(out, proxy)
         self.at(self.delay(), self.ordered, proxy, out, result)
 
     def ordered(
-        self, proxy: str, out: messages.Order, result: messages.OrderResult
+        self,
+        proxy: str,
+        out: messages.OrderPromotion,
+        result: messages.OrderResult,
     ) -> None:
         """Tell a proxy what became of its order."""
-        self.post(proxy, messages.Ordered(out.upstream, out.token, result))
+        self.post(
+            proxy, messages.PromotionOrdered(out.upstream, out.token, result)
+        )
         if result is messages.OrderResult.REFUSED:
             self.at(30, self.confirm_duty, proxy)
 
     def promote(
-        self, out: messages.Order, proxy: str, born_ms: int | None = None
+        self,
+        out: messages.OrderPromotion,
+        proxy: str,
+        born_ms: int | None = None,
     ) -> messages.OrderResult:
         """Check the token; some ms later the upstream leads.
 
