--- a/topazring/core/synchronous/tests/walks.py
+++ b/topazring/core/synchronous/tests/walks.py
@@ -5,8 +5,8 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
+from topazring.core.synchronous.tests import simulation as worlds
 from topazring.core.synchronous.tests import upstream_side
-from topazring.core.synchronous.tests import world as worlds
 
 Verb = statements.Verb
 Access = statements.Access
@@ -62,10 +62,10 @@
     steps: int,
     actions: tuple[tuple[str, int], ...] = ACTIONS,
     promote_ms: int = upstream_side.PROMOTE_MS,
-) -> worlds.World:
+) -> worlds.Simulation:
     """Walk at random; raise Violation when a promise is broken."""
     rng = random.Random(seed)
-    world = worlds.World(seed, promote_ms)
+    world = worlds.Simulation(seed, promote_ms)
     world.run(300)
     for _ in range(6):
         world.open_session()
@@ -90,18 +90,18 @@
 
 
 @_action
-def _time(world: worlds.World, rng: random.Random) -> None:
+def _time(world: worlds.Simulation, rng: random.Random) -> None:
     world.run(rng.choice((1, 3, 10, 40, 150)))
 
 
 @_action
-def _arrive(world: worlds.World, rng: random.Random) -> None:
+def _arrive(world: worlds.Simulation, rng: random.Random) -> None:
     if len(world.sessions) < 8:
         world.open_session()
 
 
 @_action
-def _leave(world: worlds.World, rng: random.Random) -> None:
+def _leave(world: worlds.Simulation, rng: random.Random) -> None:
     if world.sessions:
         proxy, session = rng.choice(world.sessions)
         if not world.is_busy(session):
@@ -109,13 +109,13 @@
 
 
 @_action
-def _lose_entry(world: worlds.World, rng: random.Random) -> None:
+def _lose_entry(world: worlds.Simulation, rng: random.Random) -> None:
     if world.sessions:
         world.lose_entry(*rng.choice(world.sessions))
 
 
 @_action
-def _speak(world: worlds.World, rng: random.Random) -> None:
+def _speak(world: worlds.Simulation, rng: random.Random) -> None:
     free = [
         (proxy, session)
         for proxy, session in world.sessions
@@ -152,25 +152,25 @@
 
 
 @_action
-def _silence(world: worlds.World, rng: random.Random) -> None:
+def _silence(world: worlds.Simulation, rng: random.Random) -> None:
     if world.wires:
         rng.choice(list(world.wires.values())).silent = True
 
 
 @_action
-def _reset(world: worlds.World, rng: random.Random) -> None:
+def _reset(world: worlds.Simulation, rng: random.Random) -> None:
     if world.wires:
         world.reset(rng.choice(list(world.wires.values())))
 
 
 @_action
-def _lose_answer(world: worlds.World, rng: random.Random) -> None:
+def _lose_answer(world: worlds.Simulation, rng: random.Random) -> None:
     if world.wires:
         rng.choice(list(world.wires.values())).lose_answer = True
 
 
 @_action
-def _dark(world: worlds.World, rng: random.Random) -> None:
+def _dark(world: worlds.Simulation, rng: random.Random) -> None:
     if any(member.dark for member in world.members.values()):
         return
     member = rng.choice(list(world.members.values()))
@@ -180,20 +180,20 @@
             wire.silent = True
 
 
-def _go_dark(world: worlds.World, member: fake_group.Member) -> None:
+def _go_dark(world: worlds.Simulation, member: fake_group.Member) -> None:
     member.dark = True
     member.dark_since_ms = int(world.now_ms)
     world.note(f'{member.name} goes dark')
 
 
 @_action
-def _back(world: worlds.World, rng: random.Random) -> None:
+def _back(world: worlds.Simulation, rng: random.Random) -> None:
     for member in list(world.members.values()):
         if member.dark and world.now_ms - member.dark_since_ms >= RESTART_MS:
             _return(world, member)
 
 
-def _return(world: worlds.World, member: fake_group.Member) -> None:
+def _return(world: worlds.Simulation, member: fake_group.Member) -> None:
     if not member.dark:
         return
     member.dark = False
@@ -211,14 +211,14 @@
 
 
 @_action
-def _deaf(world: worlds.World, rng: random.Random) -> None:
+def _deaf(world: worlds.Simulation, rng: random.Random) -> None:
     member = rng.choice(list(world.members.values()))
     member.deaf_until_ms = int(world.now_ms) + rng.choice((300, 1500, 4000))
     world.note(f'{member.name} is deaf until {member.deaf_until_ms}')
 
 
 @_action
-def _cut(world: worlds.World, rng: random.Random) -> None:
+def _cut(world: worlds.Simulation, rng: random.Random) -> None:
     names = [*worlds.PROXIES, *world.members]
     pair = frozenset(rng.sample(names, 2))
     world.cut_pairs.add(pair)
@@ -226,12 +226,12 @@
 
 
 @_action
-def _heal_cut(world: worlds.World, rng: random.Random) -> None:
+def _heal_cut(world: worlds.Simulation, rng: random.Random) -> None:
     world.cut_pairs.clear()
 
 
 @_action
-def _freeze(world: worlds.World, rng: random.Random) -> None:
+def _freeze(world: worlds.Simulation, rng: random.Random) -> None:
     proxy = rng.choice(worlds.PROXIES)
     for_ms = rng.choice((200, 900, 3000))
     world.frozen_until_ms[proxy] = int(world.now_ms) + for_ms
@@ -239,28 +239,28 @@
 
 
 @_action
-def _duty(world: worlds.World, rng: random.Random) -> None:
+def _duty(world: worlds.Simulation, rng: random.Random) -> None:
     proxy = rng.choice(worlds.PROXIES)
     for other in worlds.PROXIES:
         if other != proxy and rng.random() < 0.7:
-            world.post(other, messages.DutySeen(False))
+            world.post(other, messages.PromotionLeaseSeen(False))
     world.give_duty(proxy)
 
 
 @_action
-def _lag(world: worlds.World, rng: random.Random) -> None:
+def _lag(world: worlds.Simulation, rng: random.Random) -> None:
     rng.choice(list(world.members.values())).lag_ms = rng.choice(
         (5, 20, 200, 2000)
     )
 
 
 @_action
-def _list(world: worlds.World, rng: random.Random) -> None:
+def _list(world: worlds.Simulation, rng: random.Random) -> None:
     world.tell_list(rng.choice(worlds.PROXIES))
 
 
 @_action
-def _restart(world: worlds.World, rng: random.Random) -> None:
+def _restart(world: worlds.Simulation, rng: random.Random) -> None:
     """Have a member's process end and start again; callers are told."""
     member = rng.choice(list(world.members.values()))
     if any(other.dark for other in world.members.values()):
@@ -268,7 +268,9 @@
     _restart_member(world, member)
 
 
-def _restart_member(world: worlds.World, member: fake_group.Member) -> None:
+def _restart_member(
+    world: worlds.Simulation, member: fake_group.Member
+) -> None:
     _go_dark(world, member)
     for wire in list(world.wires.values()):
         if wire.upstream == member.name:
@@ -277,7 +279,7 @@
 
 
 @_action
-def _begin_again(world: worlds.World, rng: random.Random) -> None:
+def _begin_again(world: worlds.Simulation, rng: random.Random) -> None:
     """Have a member's process end and begin again, empty, under its name."""
     member = rng.choice(list(world.members.values()))
     if any(other.dark for other in world.members.values()):
@@ -294,7 +296,7 @@
     world.relist(member)
 
 
-def _is_spare(world: worlds.World, member: fake_group.Member) -> bool:
+def _is_spare(world: worlds.Simulation, member: fake_group.Member) -> bool:
     """Say whether another member has all that this one may have confirmed.
 
     If none has, an acknowledged write is lost whatever anyone decides.
@@ -307,7 +309,7 @@
 
 
 @_action
-def _release(world: worlds.World, rng: random.Random) -> None:
+def _release(world: worlds.Simulation, rng: random.Random) -> None:
     """Replace a member: its successor comes first, then it leaves."""
     if len(world.members) > len(worlds.UPSTREAMS):
         # One at a time: the last one has not ended yet.
@@ -321,7 +323,7 @@
 
 
 @_action
-def _replace_in_turn(world: worlds.World, rng: random.Random) -> None:
+def _replace_in_turn(world: worlds.Simulation, rng: random.Random) -> None:
     """Replace several members; each leaves before the last one's end."""
     if world.now_ms < world.replaced_until_ms:
         return
@@ -348,17 +350,19 @@
     world.replaced_until_ms = world.now_ms + in_all_ms
 
 
-def _come(world: worlds.World) -> None:
+def _come(world: worlds.Simulation) -> None:
     world.come(f'u{next(world.newcomers)}')
 
 
-def _if_there(world: worlds.World, step, member: fake_group.Member) -> None:
+def _if_there(
+    world: worlds.Simulation, step, member: fake_group.Member
+) -> None:
     if world.members.get(member.name) is member:
         step(member)
 
 
 @_action
-def _lapse(world: worlds.World, rng: random.Random) -> None:
+def _lapse(world: worlds.Simulation, rng: random.Random) -> None:
     """Have the entry of a dark upstream lapse."""
     for member in world.members.values():
         if member.dark and world.now_ms - member.dark_since_ms > LAPSE_MS:
--- a/topazring/core/synchronous/transactions.py
+++ b/topazring/core/synchronous/transactions.py
@@ -11,14 +11,14 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['first_statement', 'ran']
+__all__ = ['send_first_statement', 'handle_reply']
 
 Reason = outcomes.Reason
 Code = statements.Code
 SessionState = statements.SessionState
 
 
-def first_statement(
+def send_first_statement(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -35,12 +35,12 @@
     command = exchanges.statement_command(request)
     return [
         connections.send(
-            connection, now_ms, states.Errand.STATEMENT, (command,)
+            connection, now_ms, states.Purpose.STATEMENT, (command,)
         )
     ]
 
 
-def ran(
+def handle_reply(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
@@ -85,7 +85,7 @@
     if work.request.writes:
         transaction.wrote = True
     connections.mark_idle(connection, now_ms)
-    needs_ms = None if work.request.writes else transaction.needs_ms
+    needs_ms = None if work.request.writes else transaction.proof_needed_ms
     return completion.answer_success(state, work, connection, reply, needs_ms)
 
 
--- a/topazring/platform/records.py
+++ b/topazring/platform/records.py
@@ -119,7 +119,7 @@
         role = statements.Role.PRIMARY
     return listing.UpstreamRecord(
         raw.service,
-        messages.Listed(
+        messages.ListedUpstream(
             name,
             raw.address,
             raw.zone,
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -157,7 +157,7 @@
         if session is None or session.transaction is None:
             return
         policy = session.transaction.policy
-        self._withdraw(policy, sessions.lose_transaction(session))
+        self._withdraw(policy, sessions.fail_transaction(session))
 
     def _withdraw(self, policy: messages.Policy, transaction: int) -> None:
         if transaction:
@@ -257,20 +257,20 @@
             return True
         began_ms = clock.suspended_ms()
         open_before = session.transaction
-        taken = sessions.take(
+        taken = sessions.handle_statement(
             session,
             began_ms,
             self.host.next_key(),
             statement,
             self.host.policy(session.database),
         )
-        if isinstance(taken, sessions.Local):
+        if isinstance(taken, sessions.LocalAnswer):
             if open_before is not None:
                 self._withdraw(open_before.policy, taken.ends)
             outcome = taken.outcome
         else:
             outcome = await self.host.run(taken)
-            sessions.finish(session, taken, outcome)
+            sessions.record_outcome(session, taken, outcome)
         took_ms = clock.suspended_ms() - began_ms
         self.host.note(str(statement.verb), outcome, took_ms)
         await self._answer(outcome)
--- a/topazring/pooler/group_task.py
+++ b/topazring/pooler/group_task.py
@@ -29,7 +29,7 @@
 _LASTING = (
     messages.InstancesSeen,
     messages.UpstreamsSeen,
-    messages.DutySeen,
+    messages.PromotionLeaseSeen,
 )
 
 
@@ -78,7 +78,7 @@
 
     def close(self) -> None:
         """Answer what is in hand and close every connection."""
-        self.post(messages.Abandon())
+        self.post(messages.Shutdown())
         for task in list(self.tasks):
             task.cancel()
         for link in self.links.values():
@@ -137,7 +137,7 @@
         if full and now_ms - self.restarts_ms[0] < RESTARTS_WITHIN_MS:
             self._end_process()
         self.restarts_ms.append(now_ms)
-        broken, self.state = self.state, restart.successor(self.state)
+        broken, self.state = self.state, restart.recreate_state(self.state)
         for link in self.links.values():
             link.close()
         self.links.clear()
@@ -148,7 +148,7 @@
         }
         for key in list(self.answers):
             if key not in waiting:
-                outcome = restart.outcome_of(broken, key)
+                outcome = restart.outcome_after_restart(broken, key)
                 self._answer(messages.Answer(key, outcome))
         told = [self.told[kind] for kind in _LASTING if kind in self.told]
         self.inbox.extendleft(reversed(told))
@@ -165,14 +165,14 @@
                 link = self.links.pop(out.connection, None)
                 if link is not None:
                     link.close()
-            case messages.Order():
+            case messages.OrderPromotion():
                 self._spawn(self._order(out))
-            case messages.ReadList():
+            case messages.ReadUpstreamList():
                 self._spawn(self._read_list(out))
-            case messages.YieldDuty():
+            case messages.YieldPromotionLease():
                 if self.yield_duty:
                     self.yield_duty(out.why)
-            case messages.Decided():
+            case messages.LogDecision():
                 self.log.emit(
                     'group', out.what, out.request_id, self.service, out.inputs
                 )
@@ -195,7 +195,7 @@
             self.links.pop(message.connection, None)
         self.post(message)
 
-    async def _order(self, out: messages.Order) -> None:
+    async def _order(self, out: messages.OrderPromotion) -> None:
         result = messages.OrderResult.REFUSED
         if self.may_order is None or await self.may_order():
             result = await self.adapter.orders.promote(
@@ -211,24 +211,24 @@
                 'result': str(result),
             },
         )
-        self.post(messages.Ordered(out.upstream, out.token, result))
+        self.post(messages.PromotionOrdered(out.upstream, out.token, result))
         if result is messages.OrderResult.REFUSED and self.doubt_duty:
             self.doubt_duty()
 
-    async def _read_list(self, out: messages.ReadList) -> None:
+    async def _read_list(self, out: messages.ReadUpstreamList) -> None:
         told = self.read_list is None or await self.read_list()
-        self.post(messages.ListRead(out.token, told))
+        self.post(messages.UpstreamListRead(out.token, told))
 
     async def _tick_forever(self) -> None:
         before_ms = clock.suspended_ms()
         while True:
-            period_ms = groups_synchronous.tick_ms(self.state)
+            period_ms = groups_synchronous.tick_interval_ms(self.state)
             await asyncio.sleep(period_ms / 1000)
             now_ms = clock.suspended_ms()
             paused_ms = now_ms - before_ms - period_ms
             before_ms = now_ms
             self.post(messages.Tick(max(0, paused_ms)))
-            paused = paused_ms >= groups_synchronous.DUTY_PAUSE_MS
+            paused = paused_ms >= groups_synchronous.LEASE_RECHECK_PAUSE_MS
             if paused and self.doubt_duty:
                 self.doubt_duty()
 
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -146,7 +146,7 @@
     async def serve_here(self, request: messages.Request) -> outcomes.Outcome:
         """Serve a request without asking another proxy."""
         last = self.stopping is caller_task.Stopping.LAST
-        if last and not request.goes_on:
+        if last and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         group = self.groups.get(request.policy.service)
         if group is None:
@@ -159,7 +159,7 @@
         Nothing new is begun for others once this process leaves: they have
         other owners, and it has its own callers to let go.
         """
-        if self.leaving and not request.goes_on:
+        if self.leaving and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         return await self.serve_here(request)
 
@@ -247,7 +247,7 @@
         self.groups[service] = group
         group.start()
         if self.holds:
-            group.post(messages.DutySeen(True, self.token))
+            group.post(messages.PromotionLeaseSeen(True, self.token))
         return group
 
     def _drop_group(self, service: str) -> None:
@@ -260,7 +260,7 @@
         self.holds = holds
         self.token = token
         for group in self.groups.values():
-            group.post(messages.DutySeen(holds, token))
+            group.post(messages.PromotionLeaseSeen(holds, token))
 
     # ---- the balancer and operators ----
 
--- a/topazring/pooler/router.py
+++ b/topazring/pooler/router.py
@@ -91,7 +91,7 @@
 
     async def run(self, request: messages.Request) -> outcomes.Outcome:
         """Return the request's one final answer."""
-        if request.goes_on:
+        if request.continues_transaction:
             return await self._go_on(request)
         owned = self.owned.get(request.policy.service)
         if owned is None:
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -98,7 +98,7 @@
             group_task.upstream_link, 'UpstreamLink', self.make_link
         )
         with link, contextlib.redirect_stderr(io.StringIO()):
-            listed = messages.Listed(
+            listed = messages.ListedUpstream(
                 'u1', 'u1:1', 'here', statements.Role.PRIMARY, 1
             )
             self.task.post(messages.InstancesSeen(1, 3))
@@ -176,7 +176,7 @@
         """A late word of an old connection is nobody's, a token only grows."""
 
         async def steps():
-            self.task.post(messages.DutySeen(True, 10_000))
+            self.task.post(messages.PromotionLeaseSeen(True, 10_000))
             self.task.state.token = 10_007
             numbers = {link.number for link in self.links}
             await self.break_group()
@@ -184,7 +184,7 @@
             came = {link.number for link in self.links} - numbers
             self.assertTrue(came)
             self.assertGreater(min(came), max(numbers))
-            self.assertTrue(self.task.state.holds_duty)
+            self.assertTrue(self.task.state.holds_promotion_lease)
             self.assertGreaterEqual(self.task.state.token, 10_007)
 
         self.play(steps)
