--- a/topazring/core/synchronous/tests/fake_group.py
+++ b/topazring/core/synchronous/tests/fake_group.py
@@ -1,4 +1,4 @@
-"""Play a group of upstreams with synchronous replicas, in memory."""
+"""Simulate upstreams with synchronous replication in memory."""
 
 import collections
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class Violation(AssertionError):
-    """Say which promise was broken."""
+    """Report a violated guarantee."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass
 class Wire:
-    """Hold one connection as the upstream sees it."""
+    """Hold the upstream side of one connection."""
 
     proxy: str
     number: int
@@ -44,9 +44,9 @@
     )
     replies: list[statements.Reply] = dataclasses.field(default_factory=list)
     busy: bool = False
-    # Nothing passes in either direction any more, and nobody is told.
+    # Drops all data in both directions without an error.
     silent: bool = False
-    # The next answer is lost, once.
+    # Drops the next answer, once.
     lose_answer: bool = False
 
 
@@ -58,13 +58,13 @@
     role: Role
     term: int = 1
     log: list[Entry] = dataclasses.field(default_factory=list)
-    # Of the log so many entries are applied.
+    # Number of applied log entries.
     applied: int = 0
-    # The term named in a pause, 0 if none.
+    # Term of the pause in effect, 0 if none.
     held_term: int = 0
-    dark: bool = False
-    dark_since_ms: int = 0
-    deaf_until_ms: int = 0
+    is_down: bool = False
+    down_since_ms: int = 0
+    not_receiving_until_ms: int = 0
     lag_ms: int = 20
     listed: bool = True
     leaving: bool = False
@@ -72,13 +72,13 @@
     born_ms: int = 1
 
     def received(self) -> log_positions.LogPosition:
-        """Return the place of the last entry."""
+        """Return the log position of the last entry."""
         if not self.log:
             return log_positions.ORIGIN
         return log_positions.LogPosition(self.log[-1].term, len(self.log))
 
     def place(self) -> log_positions.LogPosition:
-        """Return the place of the last applied entry."""
+        """Return the log position of the last applied entry."""
         if not self.applied:
             return log_positions.ORIGIN
         return log_positions.LogPosition(
@@ -87,7 +87,7 @@
 
 
 def report(member: Member) -> statements.StatusReport:
-    """Return what an upstream says of itself."""
+    """Return the status report of an upstream."""
     return statements.StatusReport(
         member.role,
         member.term,
@@ -100,7 +100,7 @@
 
 
 def wire_state(wire: Wire) -> SessionState:
-    """Return where a connection's session stands."""
+    """Return the transaction state of a connection."""
     if wire.read_only is None:
         return SessionState.IDLE
     if wire.failed:
@@ -109,7 +109,7 @@
 
 
 def roll_back(wire: Wire) -> None:
-    """Undo a connection's transaction."""
+    """Roll back the transaction of a connection."""
     wire.read_only = None
     wire.failed = False
     wire.owner = 0
@@ -119,7 +119,7 @@
 def ok(
     wire: Wire, place: log_positions.LogPosition, signature: str = '-', **more
 ) -> statements.Reply:
-    """Return a success."""
+    """Return a success reply."""
     return statements.Reply(
         signature=signature, state=wire_state(wire), place=place, **more
     )
@@ -128,7 +128,7 @@
 def refuse(
     wire: Wire, place: log_positions.LogPosition, code: Code
 ) -> statements.Reply:
-    """Return a refusal; a transaction fails by it."""
+    """Return a refusal and fail the open transaction."""
     if wire.read_only is not None:
         wire.failed = True
     return statements.Reply(code=code, state=wire_state(wire), place=place)
--- a/topazring/core/synchronous/tests/invariants.py
+++ b/topazring/core/synchronous/tests/invariants.py
@@ -1,8 +1,9 @@
-"""Check that what a group's state holds refers to nothing that is gone.
+"""Check the references between the objects in the state of a group.
 
-A request names its connections by number, a connection its request and its
-transaction, a transaction its connection. Whichever ends first, the others
-must not go on naming it: the next look at the number ends the group.
+A request refers to its connections by number, a connection to its request and
+its transaction, a transaction to its connection. Whichever ends first, the
+others must not keep a reference to it: the next lookup would fail and end the
+group.
 """
 
 from topazring.core.synchronous import state as states
@@ -11,12 +12,12 @@
 
 
 def broken(state: states.GroupState) -> list[str]:
-    """Return what is wrong with a state, one sentence each."""
+    """Return the violated invariants of a state, one sentence each."""
     return [
         *_work(state),
         *_connections(state),
         *_transactions(state),
-        *_lines(state),
+        *_queues(state),
     ]
 
 
@@ -26,13 +27,15 @@
         for number in work.running:
             connection = state.connections.get(number)
             if connection is None:
-                found.append(f'request {key} runs on {number}, which is gone')
+                found.append(
+                    f'request {key} runs on {number}, which is closed'
+                )
             elif connection.work != key:
                 found.append(f'request {key} runs on {number}, not its own')
         if not (work.is_queued or work.running or work.unproven_answer):
             found.append(f'request {key} waits for nothing')
         if work.is_queued and work.running:
-            found.append(f'request {key} runs and waits in line')
+            found.append(f'request {key} runs and is queued')
     return found
 
 
@@ -40,8 +43,8 @@
     found = []
     listed = {
         number
-        for held in state.connections_by_upstream.values()
-        for number in held
+        for mine in state.connections_by_upstream.values()
+        for number in mine
     }
     if listed != state.connections.keys():
         found.append('connections by upstream are not all connections')
@@ -54,7 +57,7 @@
             found.append(f'connection {number} is idle and serves a request')
         known = connection.transaction in state.transactions
         if idle and connection.transaction and not known:
-            found.append(f'connection {number} is kept for no transaction')
+            found.append(f'connection {number} is held for no transaction')
     return found
 
 
@@ -63,19 +66,19 @@
     for key, transaction in state.transactions.items():
         connection = state.connections.get(transaction.connection)
         if connection is None:
-            found.append(f'transaction {key} is on a connection that is gone')
+            found.append(f'transaction {key} is on a closed connection')
         elif connection.transaction != key:
             found.append(f"transaction {key} is on another's connection")
     return found
 
 
-def _lines(state: states.GroupState) -> list[str]:
+def _queues(state: states.GroupState) -> list[str]:
     waiting = {
         key
         for queues in (state.primary_queues, state.any_queues)
         for queue in queues.values()
-        for line in queue.heaps.values()
-        for _, key in line
+        for heap in queue.heaps.values()
+        for _, key in heap
     }
     queued = {key for key, work in state.work.items() if work.is_queued}
-    return [f'request {key} is in line, or not' for key in waiting ^ queued]
+    return [f'request {key} is queued, or not' for key in waiting ^ queued]
--- a/topazring/core/synchronous/tests/oracle.py
+++ b/topazring/core/synchronous/tests/oracle.py
@@ -1,4 +1,4 @@
-"""Judge every run and answer by what was promised before."""
+"""Check statement runs and answers against the guarantees given."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass
 class Asked:
-    """Hold a request, and what it has to see."""
+    """Hold a request and the writes that it must see."""
 
     request: messages.Request
     session: int
@@ -23,27 +23,28 @@
 
 
 class Oracle:
-    """Hold what was promised, to whom, and when."""
+    """Hold the guarantees given to callers."""
 
     def __init__(self):
         self.asked: dict[str, Asked] = {}
-        # Acknowledged writes with the time of their answer.
+        # Acknowledged writes and the times of their answers.
         self.acknowledged: dict[str, int] = {}
-        self.own: dict[int, set[str]] = {}
-        # Writes of which a caller was told that nothing is kept.
+        self.own_writes: dict[int, set[str]] = {}
+        # Writes reported to a caller as having had no effect.
         self.denied: set[str] = set()
-        self.cut: set[str] = set()
-        # What each transaction wrote, by its key.
-        self.open_writes: dict[int, list[str]] = {}
-        # What each read saw, by its signature.
+        self.truncated: set[str] = set()
+        # Writes of open transactions, by transaction key.
+        self.uncommitted_writes: dict[int, list[str]] = {}
+        # Writes visible to each read, by its signature.
         self.seen: dict[str, frozenset[str]] = {}
         self.committed: set[str] = set()
-        # The term that each write was committed in last.
+        # The last term in which each write was committed.
         self.terms: dict[str, int] = {}
-        # The newest term that has a primary, and what that began with.
+        # The newest term that has a primary, and the writes that it started
+        # with.
         self.leading_term = 1
-        self.carried: set[str] = set()
-        self.begun: dict[int, frozenset[str]] = {}
+        self.initial_writes: set[str] = set()
+        self.transaction_must_see: dict[int, frozenset[str]] = {}
         self.tokens: dict[int, str] = {}
         self.counts: dict[str, int] = {}
 
@@ -53,11 +54,13 @@
         session: sessions.Session,
         request: messages.Request,
     ) -> None:
-        """Note what a request has to see."""
+        """Record the writes that a request must see."""
         must_see = self._must_see(now_ms, session, request)
         if request.transaction:
-            # A transaction has to see what its beginning had to.
-            must_see = self.begun.setdefault(request.transaction, must_see)
+            # A transaction must see what its first statement had to see.
+            must_see = self.transaction_must_see.setdefault(
+                request.transaction, must_see
+            )
         self.asked[request.statement.request_id] = Asked(
             request, session.number, must_see
         )
@@ -74,7 +77,7 @@
             before_ms -= policy.max_staleness_ms
         seen = {w for w, at in self.acknowledged.items() if at <= before_ms}
         if policy.freshness is messages.Freshness.SESSION:
-            seen |= self.own.get(session.number, set())
+            seen |= self.own_writes.get(session.number, set())
         return frozenset(seen)
 
     def ran(
@@ -84,7 +87,7 @@
         request_id: str,
         signature: str,
     ) -> None:
-        """Check what a statement met on its connection."""
+        """Check the connection state that a statement runs with."""
         asked = self.asked[request_id]
         request = asked.request
         if wire.values != dict(request.values):
@@ -103,7 +106,7 @@
     def runs_prepared(
         self, wire: fake_group.Wire, name: str, request_id: str
     ) -> None:
-        """Check that a name runs the shape that its caller prepared."""
+        """Check that a name runs the shape prepared by its caller."""
         prepared = self.asked[request_id].request.prepared
         if prepared is None or wire.prepared[name] != prepared.shape:
             raise Violation(f'{request_id}: another shape')
@@ -111,7 +114,7 @@
     def commits(self, entry: fake_group.Entry) -> None:
         """Check that no write takes effect twice."""
         for write in entry.writes:
-            if write in self.committed and write not in self.cut:
+            if write in self.committed and write not in self.truncated:
                 raise Violation(f'{write} took effect twice')
             self.committed.add(write)
             self.terms[write] = entry.term
@@ -124,7 +127,7 @@
         holder: str,
         term: int,
     ) -> None:
-        """Check that a new primary holds what was acknowledged."""
+        """Check that a new primary holds all acknowledged writes."""
         held = {write for entry in member.log for write in entry.writes}
         lost = self.acknowledged.keys() - held
         if lost:
@@ -132,8 +135,8 @@
         if self.tokens.setdefault(token, holder) != holder:
             raise Violation(f'two holders used token {token}')
         self.leading_term = term
-        self.carried = held
-        self.cut |= cut - held
+        self.initial_writes = held
+        self.truncated |= cut - held
         self.committed -= cut - held
         self.count('promoted')
 
@@ -144,7 +147,7 @@
         request_id: str,
         outcome: outcomes.Outcome,
     ) -> None:
-        """Check one final answer."""
+        """Check a final answer."""
         asked = self.asked[request_id]
         if asked.answered:
             raise Violation(f'{request_id} was answered twice')
@@ -158,25 +161,25 @@
         elif isinstance(outcome, outcomes.NotRun):
             self._denied(request)
         elif key:
-            self.open_writes.pop(key, None)
+            self.uncommitted_writes.pop(key, None)
 
-    def entry_lost(
-        self, transaction: int, under_way: list[messages.Request]
+    def record_detached(
+        self, transaction: int, in_flight: list[messages.Request]
     ) -> None:
-        """Note what a caller is told whose entry loses its owner.
+        """Record the outcome for a caller whose stream to the owner is lost.
 
-        Nothing of its transaction is kept, unless its COMMIT is under way.
+        Its transaction has no effect unless its COMMIT is in flight.
         """
-        writes = self.open_writes.pop(transaction, [])
-        for request in under_way:
+        writes = self.uncommitted_writes.pop(transaction, [])
+        for request in in_flight:
             if request.statement.verb is Verb.COMMIT:
                 return
             if request.writes:
                 writes.append(request.statement.request_id)
         self.denied.update(writes)
 
-    def dismissed(self, request_id: str) -> None:
-        """Take in an answer that reaches nobody."""
+    def record_undelivered(self, request_id: str) -> None:
+        """Record an answer that cannot be delivered."""
         asked = self.asked[request_id]
         if asked.answered:
             raise Violation(f'{request_id} was answered twice')
@@ -199,9 +202,11 @@
         key = request.transaction
         verb = request.statement.verb
         if verb is Verb.COMMIT:
-            self._acknowledge(now_ms, session, self.open_writes.pop(key, []))
+            self._acknowledge(
+                now_ms, session, self.uncommitted_writes.pop(key, [])
+            )
         elif request.writes and key:
-            writes = self.open_writes.setdefault(key, [])
+            writes = self.uncommitted_writes.setdefault(key, [])
             writes.append(request.statement.request_id)
         elif request.writes:
             write = request.statement.request_id
@@ -213,13 +218,13 @@
         self, now_ms: int, session: sessions.Session, writes: list[str]
     ) -> None:
         for write in writes:
-            if write in self.cut:
+            if write in self.truncated:
                 raise Violation(f'{write} was acknowledged after it was cut')
             replaced = self.terms[write] < self.leading_term
-            if replaced and write not in self.carried:
+            if replaced and write not in self.initial_writes:
                 raise Violation(f'{write} was taken by a replaced primary')
             self.acknowledged[write] = now_ms
-            self.own.setdefault(session.number, set()).add(write)
+            self.own_writes.setdefault(session.number, set()).add(write)
 
     def _check_age(self, asked: Asked, outcome: outcomes.Done) -> None:
         missing = asked.must_see - self.seen[outcome.signature]
@@ -230,27 +235,27 @@
     def _denied(self, request: messages.Request) -> None:
         key = request.transaction
         if key:
-            self.denied.update(self.open_writes.pop(key, []))
+            self.denied.update(self.uncommitted_writes.pop(key, []))
         if request.writes:
             self.denied.add(request.statement.request_id)
 
     def finish(self, member: fake_group.Member) -> None:
-        """Check the log that is left at the end."""
+        """Check the final log."""
         held = [write for entry in member.log for write in entry.writes]
         if len(held) != len(set(held)):
             raise Violation('a write took effect twice')
-        kept = self.denied & set(held)
-        if kept:
-            raise Violation(f'{sorted(kept)} ran though denied')
+        effective = self.denied & set(held)
+        if effective:
+            raise Violation(f'{sorted(effective)} ran though denied')
         lost = self.acknowledged.keys() - set(held)
         if lost:
             raise Violation(f'lost: {sorted(lost)}')
-        open_left = [
+        unanswered = [
             r for r, asked in self.asked.items() if not asked.answered
         ]
-        if open_left:
-            raise Violation(f'never answered: {open_left}')
+        if unanswered:
+            raise Violation(f'never answered: {unanswered}')
 
     def count(self, what: str) -> None:
-        """Count an event, for the walk's report."""
+        """Count an event for the report of the walk."""
         self.counts[what] = self.counts.get(what, 0) + 1
--- a/topazring/core/synchronous/tests/simulation.py
+++ b/topazring/core/synchronous/tests/simulation.py
@@ -1,8 +1,9 @@
-"""Put proxies' cores before a group of upstreams and let things go wrong.
+"""Simulate proxies and a group of upstreams under faults.
 
-Time is simulated: events lie in a heap. Links delay, connections go silent,
-upstreams go dark or deaf, orders arrive late, holders of the duty change and
-overlap. The oracle watches what upstreams run and what callers get.
+Time is simulated with a heap of events. Links delay messages, connections
+stop passing data, upstreams crash or stop receiving the log, promotion orders
+arrive late, and holders of the promotion lease change and overlap. The oracle
+checks what upstreams run and what callers receive.
 """
 
 import collections
@@ -28,9 +29,9 @@
 UPSTREAMS = ('u1', 'u2', 'u3')
 PROXIES = ('p1', 'p2')
 TICK_MS = 20
-# All proxies see that the duty is free, and one gains it.
+# Time until another proxy gains a promotion lease that was yielded.
 GAIN_MS = 150
-# Reading the list anew, the longest answer included.
+# Time to read the list again, including the slowest answer.
 LIST_READ_MS = 10
 POLICIES = (
     messages.Policy('exact', 's', messages.Freshness.PRIMARY, 0, 600),
@@ -40,7 +41,7 @@
 
 
 class Simulation(upstream_side.UpstreamSide, simulated_time.SimulatedTime):
-    """Hold proxies, upstreams, what is under way, and the oracle."""
+    """Hold proxies, upstreams, messages in flight and the oracle."""
 
     def __init__(self, seed: int, promote_ms: int = upstream_side.PROMOTE_MS):
         super().__init__(now_ms=1000)
@@ -61,56 +62,56 @@
         self.cut_pairs: set[frozenset[str]] = set()
         self.states: dict[str, states.GroupState] = {}
         self.frozen_until_ms: dict[str, int] = {}
-        # What came for a proxy that stands still.
+        # Messages queued for paused proxies.
         self.frozen_inboxes = {name: collections.deque() for name in PROXIES}
         self.sessions: list[tuple[str, sessions.Session]] = []
         self.pending: dict[tuple[str, int], sessions.Session] = {}
-        # Sessions whose answers reach nobody any more.
-        self.lost_entries: set[int] = set()
+        # Sessions whose answers can no longer be delivered.
+        self.detached_sessions: set[int] = set()
         self.signatures = itertools.count(1)
-        # Numbers of upstreams that come later.
-        self.newcomers = itertools.count(len(UPSTREAMS) + 1)
-        # Until then members are replaced one after the other.
+        # Numbers for the names of upstreams that start later.
+        self.new_member_numbers = itertools.count(len(UPSTREAMS) + 1)
+        # When the current replacement of several members ends.
         self.replaced_until_ms = 0.0
         self.trace: list[str] = []
         for proxy in PROXIES:
             self.states[proxy] = states.make_group('s', 'dc', states.Limits())
             self.post(proxy, messages.InstancesSeen(2, 8))
-            self.tell_list(proxy)
+            self.send_list(proxy)
             self.at(TICK_MS, self.tick, proxy, self.now_ms)
-        self.give_duty('p1')
+        self.grant_lease('p1')
 
     def note(self, text: str) -> None:
-        """Keep a line for whoever reads a failure."""
+        """Add a line to the trace that is printed on a failure."""
         self.trace.append(f'{self.now_ms:.0f} {text}')
 
     # ---- proxies ----
 
     def is_frozen(self, proxy: str) -> bool:
-        """Say whether a proxy stands still."""
+        """Return whether a proxy is paused."""
         return self.now_ms < self.frozen_until_ms.get(proxy, 0)
 
     def post(self, proxy: str, message: object) -> None:
-        """Give a proxy's core a message, now or when it goes on."""
-        held = self.frozen_inboxes[proxy]
-        if held or self.is_frozen(proxy):
-            held.append(message)
-            if len(held) == 1:
-                self.thaw(proxy)
+        """Post a message to the core of a proxy, once it is not paused."""
+        inbox = self.frozen_inboxes[proxy]
+        if inbox or self.is_frozen(proxy):
+            inbox.append(message)
+            if len(inbox) == 1:
+                self.deliver_queued(proxy)
             return
         self.deliver(proxy, message)
 
-    def thaw(self, proxy: str) -> None:
-        """Deliver what came while a proxy stood still, in order."""
+    def deliver_queued(self, proxy: str) -> None:
+        """Deliver the messages that arrived during a pause, in order."""
         if self.is_frozen(proxy):
             delay_ms = self.frozen_until_ms[proxy] - self.now_ms
-            self.at(delay_ms, self.thaw, proxy)
+            self.at(delay_ms, self.deliver_queued, proxy)
             return
         while self.frozen_inboxes[proxy]:
             self.deliver(proxy, self.frozen_inboxes[proxy].popleft())
 
     def deliver(self, proxy: str, message: object) -> None:
-        """Give a proxy's core a message and do what it says."""
+        """Run one step of the core of a proxy and execute its output."""
         outs = group.step(self.states[proxy], int(self.now_ms), message)
         broken = invariants.broken(self.states[proxy])
         if broken:
@@ -119,7 +120,7 @@
             self.perform(proxy, out)
 
     def tick(self, proxy: str, before_ms: float) -> None:
-        """Tick a core, late after it stood still."""
+        """Tick a core; the tick is late after a pause."""
         if self.is_frozen(proxy):
             delay_ms = self.frozen_until_ms[proxy] - self.now_ms
             self.at(delay_ms, self.tick, proxy, before_ms)
@@ -127,11 +128,11 @@
         paused_ms = int(self.now_ms - before_ms - TICK_MS)
         self.post(proxy, messages.Tick(max(0, paused_ms)))
         if paused_ms >= group.LEASE_RECHECK_PAUSE_MS:
-            self.at(30, self.confirm_duty, proxy)
+            self.at(30, self.confirm_lease, proxy)
         self.at(TICK_MS, self.tick, proxy, self.now_ms)
 
     def perform(self, proxy: str, out: object) -> None:
-        """Do what a core said."""
+        """Execute one output message of a core."""
         match out:
             case messages.Open():
                 self.at(self.delay(), self.dial, proxy, out)
@@ -140,7 +141,7 @@
                 if wire is not None and not wire.silent:
                     self.at(self.delay(), self.arrive, wire, out.commands)
             case messages.Close():
-                self.at(self.delay(), self.hang_up, proxy, out.connection)
+                self.at(self.delay(), self.close_wire, proxy, out.connection)
             case messages.Answer():
                 self.take_answer(proxy, out)
             case messages.OrderPromotion():
@@ -148,13 +149,13 @@
             case messages.ReadUpstreamList():
                 self.at(self.delay(), self.read_list, proxy, out)
             case messages.YieldPromotionLease():
-                self.at(GAIN_MS, self.gain_duty_after, proxy)
+                self.at(GAIN_MS, self.grant_lease_to_other, proxy)
             case messages.LogDecision():
                 self.note(f'{proxy} {out.what} {dict(out.inputs)}')
 
     def read_list(self, proxy: str, out: messages.ReadUpstreamList) -> None:
-        """Tell a proxy what is listed now; the answer takes its time."""
-        self.at(self.delay(), self.tell_list, proxy, self.listed())
+        """Send a proxy the current list, after a delay."""
+        self.at(self.delay(), self.send_list, proxy, self.listed())
         self.at(
             LIST_READ_MS,
             self.post,
@@ -163,39 +164,39 @@
         )
 
     def delay(self) -> float:
-        """Return how long a message takes."""
+        """Return a random message delay in milliseconds."""
         return self.rng.choice((0.5, 1, 1, 2, 9))
 
-    def give_duty(self, proxy: str) -> None:
-        """Let a proxy gain the duty; the others may not know it yet."""
+    def grant_lease(self, proxy: str) -> None:
+        """Grant the promotion lease; other proxies are not notified."""
         self.next_block += 1000
         self.holder = proxy
         self.post(proxy, messages.PromotionLeaseSeen(True, self.next_block))
 
-    def gain_duty_after(self, before: str) -> None:
-        """Let another proxy gain the duty that one gave up."""
+    def grant_lease_to_other(self, before: str) -> None:
+        """Grant the promotion lease to the other proxy after a yield."""
         if self.holder == before:
             (other,) = [name for name in PROXIES if name != before]
-            self.give_duty(other)
+            self.grant_lease(other)
 
-    def confirm_duty(self, proxy: str) -> None:
-        """Tell a proxy that asked whether it still holds the duty."""
+    def confirm_lease(self, proxy: str) -> None:
+        """Confirm the promotion lease if the proxy still holds it."""
         if proxy == self.holder:
             self.post(
                 proxy, messages.PromotionLeaseSeen(True, self.next_block)
             )
 
-    def tell_list(
+    def send_list(
         self,
         proxy: str,
         listed: tuple[messages.ListedUpstream, ...] | None = None,
     ) -> None:
-        """Tell a proxy what the platform lists, now or when it was read."""
+        """Send a proxy the current list or an earlier one."""
         listed = self.listed() if listed is None else listed
         self.post(proxy, messages.UpstreamsSeen(listed))
 
     def listed(self) -> tuple[messages.ListedUpstream, ...]:
-        """Return what the platform lists."""
+        """Return the list of the platform."""
         return tuple(
             messages.ListedUpstream(
                 member.name,
@@ -213,18 +214,18 @@
     # ---- connections ----
 
     def reachable(self, proxy: str, upstream: str) -> bool:
-        """Say whether new connections get through."""
+        """Return whether a proxy can reach an upstream."""
         member = self.members.get(upstream)
-        if member is None or member.dark:
+        if member is None or member.is_down:
             return False
         return frozenset((proxy, upstream)) not in self.cut_pairs
 
     def dial(self, proxy: str, out: messages.Open) -> None:
-        """Answer a new connection."""
+        """Answer a dial."""
         if out.connection not in self.states[proxy].connections:
             return
         if out.upstream not in self.members:
-            # Nobody listens there any more.
+            # The upstream has ended: the dial is refused.
             closed = messages.Closed(
                 out.connection, outcomes.Reason.CONNECTION_LOST
             )
@@ -232,8 +233,8 @@
             return
         if not self.reachable(proxy, out.upstream):
             return
-        held = [w for w in self.wires.values() if w.upstream == out.upstream]
-        if len(held) >= fake_group.MAX_CONNECTIONS:
+        wires = [w for w in self.wires.values() if w.upstream == out.upstream]
+        if len(wires) >= fake_group.MAX_CONNECTIONS:
             closed = messages.Closed(
                 out.connection,
                 outcomes.Reason.CONNECTION_LIMIT,
@@ -247,12 +248,12 @@
         opened = messages.Opened(out.connection, place)
         self.at(self.delay(), self.post, proxy, opened)
 
-    def hang_up(self, proxy: str, number: int) -> None:
-        """End a connection that its proxy closed; it rolls back."""
+    def close_wire(self, proxy: str, number: int) -> None:
+        """Remove a connection closed by its proxy; this rolls back."""
         self.wires.pop((proxy, number), None)
 
     def reset(self, wire: fake_group.Wire) -> None:
-        """End a connection from the upstream's side."""
+        """Reset a connection from the side of the upstream."""
         if self.wires.pop((wire.proxy, wire.number), None) is None:
             return
         if wire.silent:
@@ -266,7 +267,7 @@
         self.at(self.delay(), self.post, wire.proxy, closed)
 
     def arrive(self, wire: fake_group.Wire, commands: tuple) -> None:
-        """Take commands in at the upstream."""
+        """Receive commands at the upstream."""
         if (wire.proxy, wire.number) not in self.wires or wire.silent:
             return
         if not self.reachable(wire.proxy, wire.upstream):
@@ -278,7 +279,7 @@
             self.work(wire)
 
     def work(self, wire: fake_group.Wire) -> None:
-        """Run a connection's next command."""
+        """Run the next command of a connection."""
         if (wire.proxy, wire.number) not in self.wires:
             return
         if not wire.inbox:
@@ -294,7 +295,7 @@
         self.at(takes_ms, self.execute, wire, command)
 
     def send_back(self, wire: fake_group.Wire) -> None:
-        """Send the replies to all that came in one piece."""
+        """Send the replies to all commands of one batch."""
         wire.busy = False
         if not wire.replies or wire.silent:
             return
@@ -312,54 +313,57 @@
     # ---- callers ----
 
     def open_session(self) -> None:
-        """Begin a session at some proxy."""
+        """Open a session at a random proxy."""
         proxy = self.rng.choice(PROXIES)
         policy = self.rng.choice(POLICIES)
         session = sessions.Session(next(self.keys), policy.database)
         self.sessions.append((proxy, session))
 
-    def say(
-        self, proxy: str, session: sessions.Session, text: statements.Statement
+    def submit_statement(
+        self,
+        proxy: str,
+        session: sessions.Session,
+        statement: statements.Statement,
     ) -> None:
-        """Have a session's caller send a statement."""
+        """Submit a statement of a session."""
         policy = next(p for p in POLICIES if p.database == session.database)
         before = session.transaction
-        taken = sessions.handle_statement(
-            session, int(self.now_ms), next(self.keys), text, policy
+        result = sessions.handle_statement(
+            session, int(self.now_ms), next(self.keys), statement, policy
         )
-        if isinstance(taken, sessions.LocalAnswer):
-            self.local(proxy, before, taken)
+        if isinstance(result, sessions.LocalAnswer):
+            self.record_local_answer(proxy, before, result)
             return
-        self.pending[(proxy, taken.key)] = session
-        self.oracle.submitted(self.now_ms, session, taken)
-        self.post(proxy, messages.Submit(taken))
+        self.pending[(proxy, result.key)] = session
+        self.oracle.submitted(self.now_ms, session, result)
+        self.post(proxy, messages.Submit(result))
 
-    def local(
+    def record_local_answer(
         self,
         proxy: str,
         before: sessions.OpenTransaction | None,
-        taken: sessions.LocalAnswer,
+        result: sessions.LocalAnswer,
     ) -> None:
-        """Note an answer that needed no upstream."""
+        """Record an answer that needed no upstream."""
         if before is None:
             return
-        if isinstance(taken.outcome, outcomes.Done) and not taken.ends:
+        if isinstance(result.outcome, outcomes.Done) and not result.ends:
             return
-        writes = self.oracle.open_writes.pop(before.key, [])
+        writes = self.oracle.uncommitted_writes.pop(before.key, [])
         self.oracle.denied.update(writes)
-        if taken.ends:
-            self.post(proxy, messages.Withdraw(taken.ends))
+        if result.ends:
+            self.post(proxy, messages.Withdraw(result.ends))
 
     def take_answer(self, proxy: str, out: messages.Answer) -> None:
-        """Give a caller an answer."""
+        """Deliver an answer to its caller."""
         session = self.pending.pop((proxy, out.key))
         request = next(
             asked.request
             for asked in self.oracle.asked.values()
             if asked.request.key == out.key
         )
-        if session.number in self.lost_entries:
-            self.oracle.dismissed(request.statement.request_id)
+        if session.number in self.detached_sessions:
+            self.oracle.record_undelivered(request.statement.request_id)
             return
         self.oracle.answered(
             self.now_ms, session, request.statement.request_id, out.outcome
@@ -367,47 +371,47 @@
         sessions.record_outcome(session, request, out.outcome)
 
     def is_busy(self, session: sessions.Session) -> bool:
-        """Say whether a session waits for an answer."""
+        """Return whether a session waits for an answer."""
         return any(other is session for other in self.pending.values())
 
-    def leave(self, proxy: str, session: sessions.Session) -> None:
-        """Have a caller leave in the middle of whatever it does."""
+    def end_session(self, proxy: str, session: sessions.Session) -> None:
+        """End a session, also inside a transaction."""
         transaction = session.transaction
         key = sessions.fail_transaction(session)
         if transaction is not None:
-            writes = self.oracle.open_writes.pop(transaction.key, [])
+            writes = self.oracle.uncommitted_writes.pop(transaction.key, [])
             self.oracle.denied.update(writes)
         if key:
             self.post(proxy, messages.Withdraw(key))
         self.sessions.remove((proxy, session))
 
-    def lose_entry(self, proxy: str, session: sessions.Session) -> None:
-        """Have the stream end that a session's requests came in on.
+    def detach_session(self, proxy: str, session: sessions.Session) -> None:
+        """End the stream that the requests of a session arrived on.
 
-        Its owner undoes the transaction whatever it is at, also one whose
-        first statement still waits; answers go to nobody.
+        The owner rolls back the transaction in any state, also if its first
+        statement is still queued; answers are not delivered.
         """
-        self.note(f'{proxy} loses the entry of session {session.number}')
-        self.lost_entries.add(session.number)
-        under_way = [
+        self.note(f'{proxy} loses the stream of session {session.number}')
+        self.detached_sessions.add(session.number)
+        in_flight = [
             asked.request
             for asked in self.oracle.asked.values()
             if self.pending.get((proxy, asked.request.key)) is session
         ]
         transaction = session.transaction
         if transaction is not None:
-            self.oracle.entry_lost(transaction.key, under_way)
+            self.oracle.record_detached(transaction.key, in_flight)
             self.post(proxy, messages.Withdraw(transaction.key))
         self.sessions.remove((proxy, session))
 
     # ---- the end ----
 
-    def heal(self) -> None:
-        """End every fault."""
+    def end_faults(self) -> None:
+        """End all faults."""
         self.cut_pairs.clear()
         for member in self.members.values():
-            member.deaf_until_ms = 0
-            member.dark = False
+            member.not_receiving_until_ms = 0
+            member.is_down = False
             member.listed = True
         for wire in list(self.wires.values()):
             if wire.silent:
@@ -418,15 +422,16 @@
                 self.replicate(member)
 
     def finish(self) -> None:
-        """Heal, let everything end, and check what is left."""
-        self.heal()
+        """End all faults, let all requests end and check the final log."""
+        self.end_faults()
         for proxy in PROXIES:
-            self.tell_list(proxy)
-        # Orders may be three seconds late, and an attempt waits as long.
+            self.send_list(proxy)
+        # Orders may be three seconds late, and a promotion attempt waits for
+        # as long.
         self.run(10_000)
         primaries = [
             m for m in self.members.values() if m.role is Role.PRIMARY
         ]
         if not primaries:
-            raise fake_group.Violation('nobody leads')
+            raise fake_group.Violation('no primary')
         self.oracle.finish(max(primaries, key=lambda m: m.term))
--- a/topazring/core/synchronous/tests/support.py
+++ b/topazring/core/synchronous/tests/support.py
@@ -1,4 +1,4 @@
-"""Drive one proxy's core by hand, message by message."""
+"""Drive the core of one proxy message by message."""
 
 import dataclasses
 import itertools
@@ -22,7 +22,7 @@
 
 
 class Driver:
-    """Hold a core and all that it said."""
+    """Hold the core of one proxy and its output."""
 
     def __init__(self, share: int = 2):
         self.now_ms = 10_000
@@ -31,11 +31,11 @@
         self.state.began_ms = 0
         self.keys = itertools.count(1)
         self.outs: list = []
-        # Nothing that is listed is news to this proxy.
+        # Whether reading the list again completes at once, without changes.
         self.reads_list = True
 
     def post(self, message: object) -> list:
-        """Give the core a message; return what it said to that."""
+        """Post a message to the core and return its output."""
         outs = group.step(self.state, self.now_ms, message)
         broken = invariants.broken(self.state)
         if broken:
@@ -47,7 +47,7 @@
         return outs
 
     def tick(self, after_ms: int, paused_ms: int = 0) -> list:
-        """Let time pass, in ticks of at most 20 ms."""
+        """Advance time in ticks of at most 20 ms."""
         outs = []
         while after_ms > 0:
             step_ms = min(20, after_ms)
@@ -57,7 +57,7 @@
         return outs
 
     def list_upstreams(self, primary='u1', names=('u1', 'u2', 'u3'), **more):
-        """List upstreams; `leaving` names one that leaves."""
+        """Post a list of upstreams; `leaving` names one that leaves."""
         return self.post(
             messages.UpstreamsSeen(
                 tuple(
@@ -77,7 +77,7 @@
         )
 
     def open_all(self, place: Place = Place(1, 5)) -> None:
-        """Answer every dial until no more are made."""
+        """Answer dials until no connection is opening."""
         for _ in range(20):
             opening = [
                 connection.number
@@ -90,7 +90,7 @@
                 return
 
     def ready(self, **more) -> 'Driver':
-        """Reach a calm group: all connected, the primary proved."""
+        """Reach a steady state: all connected, leadership proved."""
         self.list_upstreams(**more)
         self.open_all()
         self.tick(40)
@@ -98,7 +98,7 @@
         return self
 
     def busy(self, upstream: str = '') -> list[states.Connection]:
-        """Return connections whose commands wait for replies."""
+        """Return the connections that wait for replies."""
         return [
             connection
             for connection in self.state.connections.values()
@@ -107,16 +107,16 @@
         ]
 
     def running(self, key: int) -> states.Connection:
-        """Return the only connection that runs a request."""
+        """Return the single connection that runs a request."""
         (number,) = self.state.work[key].running
         return self.state.connections[number]
 
     def answer_leadership_checks(self, primary: str = 'u1') -> list:
-        """Answer all guards and looks; only the primary leads."""
+        """Answer checks and status queries; only `primary` leads."""
         outs = []
         for connection in self.busy():
             if connection.upstream == 'u1' and not primary:
-                # It is lost.
+                # The lost primary does not reply.
                 continue
             if connection.purpose is states.Purpose.STATUS_QUERY:
                 leads = connection.upstream == primary
@@ -137,7 +137,7 @@
         verb: Verb = Verb.READ,
         **more,
     ) -> tuple[int, list]:
-        """Submit a statement; return its key and what the core said."""
+        """Submit a statement; return its key and the output of the core."""
         key = next(self.keys)
         statement = statements.Statement(f'r{key}', verb, f'text{key}')
         request = messages.Request(
@@ -147,7 +147,7 @@
         return key, self.post(messages.Submit(request))
 
     def reply(self, connection: states.Connection, *last: Reply) -> list:
-        """Answer what a connection sent: successes, then these."""
+        """Reply to the commands of a connection: successes, then `last`."""
         count = len(connection.commands) - len(last)
         replies = tuple(ok() for _ in range(count)) + last
         return self.post(messages.Replied(connection.number, replies))
@@ -157,17 +157,17 @@
         connection: states.Connection,
         reason: outcomes.Reason = outcomes.Reason.CONNECTION_LOST,
     ) -> list:
-        """End a connection from the other side."""
+        """Close a connection from the side of the upstream."""
         return self.post(messages.Closed(connection.number, reason))
 
 
 def ok(signature: str = '-', place: Place | None = Place(1, 5), **more):
-    """Return a success."""
+    """Return a success reply."""
     return Reply(signature=signature, place=place, **more)
 
 
 def refused(code: statements.Code, **more) -> Reply:
-    """Return a refusal."""
+    """Return a refusal reply."""
     return Reply(code=code, **more)
 
 
@@ -177,13 +177,13 @@
     term: int = 1,
     held_term: int = 2,
 ) -> Reply:
-    """Return the answer to a status, pause or demotion."""
-    seen = statements.StatusReport(role, term, received, held_term, 0, 0, 0)
-    return ok(place=received, report=seen)
+    """Return the reply to a status query, a pause or a demotion."""
+    status = statements.StatusReport(role, term, received, held_term, 0, 0, 0)
+    return ok(place=received, report=status)
 
 
 def answers(outs: list) -> dict[int, outcomes.Outcome]:
-    """Return the final answers among what the core said."""
+    """Return the final answers in the output of the core."""
     return {
         out.key: out.outcome
         for out in outs
@@ -192,12 +192,12 @@
 
 
 def sends(outs: list) -> list[messages.Send]:
-    """Return what is to be sent."""
+    """Return the Send messages in the output."""
     return [out for out in outs if isinstance(out, messages.Send)]
 
 
 def decisions(outs: list, what: str) -> list:
-    """Return what went into the decisions of one kind."""
+    """Return the inputs of the logged decisions of one kind."""
     return [
         out.inputs
         for out in outs
@@ -206,5 +206,5 @@
 
 
 def orders(outs: list) -> list[messages.OrderPromotion]:
-    """Return the orders to the platform."""
+    """Return the promotion orders in the output."""
     return [out for out in outs if isinstance(out, messages.OrderPromotion)]
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Reckon with what departed upstreams may have confirmed alone."""
+"""Test promotions after members departed that may hold unique writes."""
 
 import testtools
 
@@ -13,18 +13,18 @@
 
 
 class DeparturesTest(testtools.TestCase):
-    """What may be missing follows from what the primary says afterwards."""
+    """Test the bounds on the logs of departed members."""
 
-    def test_unknown_until_the_primary_has_said_its_place(self):
-        """A place from before the departure bounds nothing."""
+    def test_unbounded_until_primary_reports_position(self):
+        """A log position queried before the departure is not a bound."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         departed.record_primary_place(999, Place(1, 7))
         high = Place(9, 9)
         self.assertEqual(['u3'], departed.may_exceed(1000, high, NOBODY))
 
-    def test_bounded_by_the_first_place_after_it(self):
-        """What was written later the departed one cannot have."""
+    def test_bounded_by_first_position_after_departure(self):
+        """The departed member cannot hold writes made after it left."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         departed.record_primary_place(1001, Place(1, 7))
@@ -33,29 +33,29 @@
         self.assertEqual(['u3'], departed.may_exceed(1200, below, NOBODY))
         self.assertEqual([], departed.may_exceed(1200, enough, NOBODY))
 
-    def test_one_that_is_back_can_be_asked(self):
-        """It answers for itself again."""
+    def test_returned_member_does_not_block(self):
+        """A member that is listed again can be queried itself."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         departed.remove('u3')
         low = Place(0, 0)
         self.assertEqual([], departed.may_exceed(1000, low, NOBODY))
 
-    def test_one_that_is_gone_for_good_is_forgotten(self):
-        """A group must not stay without a primary for it."""
+    def test_permanently_gone_member_expires(self):
+        """A group must not stay without a primary because of it."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS
         low = Place(0, 0)
         self.assertEqual([], departed.may_exceed(later_ms, low, NOBODY))
 
-    def test_bound_holds_while_a_replica_may_be_deaf(self):
-        """Its successor in the log may take seconds to receive it.
+    def test_bound_outlives_replication_stall(self):
+        """A replica may need seconds to receive what a departed one held.
 
-        Symptom: an acknowledged write is gone after a failover. Sequence: a
-        replica confirms it alone, for the other receives nothing, and
-        crashes; the primary goes on for five seconds and crashes; the other
-        is promoted. Cause: forgetting the first after three seconds.
+        An acknowledged write was lost in a failover: one replica confirmed it
+        alone, because the other received nothing, and crashed. The primary ran
+        for five more seconds and crashed, and the other replica was promoted,
+        because the first was forgotten after three seconds.
         """
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
@@ -64,13 +64,13 @@
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS + 2000
         self.assertEqual(['u3'], departed.may_exceed(later_ms, below, NOBODY))
 
-    def test_nothing_to_wait_for_once_the_primary_left_as_well(self):
-        """Nobody that may come back can tell what the other had.
+    def test_no_wait_after_primary_left_as_well(self):
+        """No member that may return can report what the replica held.
 
-        Symptom: a group without a primary for the rest of the day. Sequence:
-        all members are replaced; the primary and a replica end before a
-        hand-over was possible; nobody is promoted, for the replica may have
-        had more. Cause: waiting for those that said they would not be back.
+        A group had no primary for the rest of the day: all members were
+        replaced, and the primary and a replica ended before a hand-over was
+        possible. No member was promoted, because the replica might have held
+        more, although both had announced that they would not return.
         """
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u1', left=True)
@@ -78,8 +78,8 @@
         low, primaries = Place(0, 0), frozenset({'u1'})
         self.assertEqual([], departed.may_exceed(1100, low, primaries))
 
-    def test_paused_one_had_no_more_than_it_said(self):
-        """It confirmed nothing after its report."""
+    def test_paused_member_is_bounded_by_its_report(self):
+        """A paused member confirms nothing after its report."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True, paused_at=Place(1, 5))
         enough = Place(1, 5)
@@ -87,23 +87,23 @@
 
 
 class NewProcessTest(testtools.TestCase):
-    """A process does not know who departed before it began."""
+    """Test a process that started after members departed."""
 
-    def test_first_place_bounds_what_they_may_have_had(self):
-        """For a moment nobody follows who lacks it."""
+    def test_first_position_bounds_earlier_departures(self):
+        """For a limited time, members that lack it are not promoted."""
         departed = departed_members.DepartedMembers()
         departed.record_first_place(1000, Place(1, 7))
         low = Place(1, 6)
         self.assertTrue(departed.may_exceed(1100, low, NOBODY))
         self.assertEqual([], departed.may_exceed(1100, Place(1, 7), NOBODY))
 
-    def test_first_place_is_no_floor_for_good(self):
-        """Writes that hang are in it, and no replica will ever have them.
+    def test_first_position_bound_expires(self):
+        """It covers unconfirmed writes that no replica will ever receive.
 
-        Symptom: a group without a primary for as long as the crashed one is
-        away. Sequence: replicas receive nothing, and writes hang; a proxy
-        starts and takes the duty; the primary crashes. Cause: all that the
-        primary held when the proxy first heard it counted as acknowledged.
+        A group had no primary for as long as the crashed one was down: the
+        replicas received nothing and writes hung, a proxy started and took the
+        promotion lease, and the primary crashed. Everything that the primary
+        held at its first reply to the proxy counted as acknowledged.
         """
         driver = support.Driver()
         driver.list_upstreams()
@@ -124,15 +124,15 @@
 
 
 class DepartedConfirmerTest(testtools.TestCase):
-    """Nobody is promoted who lacks what a departed replica confirmed."""
+    """Test that candidates hold what a departed replica confirmed."""
 
-    def test_primary_lost_right_after_a_replica_left(self):
-        """The one that left may have confirmed the last write alone.
+    def test_primary_lost_right_after_replica_left(self):
+        """The replica that left may have confirmed the last write alone.
 
-        Symptom: an acknowledged save is gone after a failover. Sequence: a
-        replica that receives nothing for a while; the other, which leaves,
-        confirms a save and ends; the primary is lost. Cause: choosing among
-        those that are left without asking what the departed one had.
+        An acknowledged write was lost in a failover: one replica received
+        nothing for a while, the other one, which was leaving, confirmed a
+        write and ended, and the primary was lost. The successor was chosen
+        without regard to what the departed replica held.
         """
         driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
@@ -142,8 +142,8 @@
         outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
 
-    def test_primary_that_spoke_since_bounds_what_may_be_missing(self):
-        """A guard after the departure says how far the log went by then."""
+    def test_primary_reply_after_departure_sets_bound(self):
+        """A leadership check after the departure reports the bound."""
         driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
         driver.tick(120)
@@ -153,14 +153,14 @@
         (order,) = support.orders(outs)
         self.assertEqual('u2', order.upstream)
 
-    def test_demoted_primary_with_a_tail_that_a_departed_one_confirmed(self):
-        """Its tail counts, for it may have been acknowledged.
+    def test_demoted_primary_with_tail_confirmed_by_departed(self):
+        """The tail of its log counts, as it may have been acknowledged.
 
-        Symptom: an acknowledged save is gone after a failover. Sequence: a
-        leaving replica confirms a save and ends; the others received
-        nothing; the primary is demoted for that and reports the save; a
-        replica without it is promoted. Cause: taking what the remaining
-        replicas lack for something that nobody confirmed.
+        An acknowledged write was lost in a failover: a leaving replica
+        confirmed a write and ended while the others received nothing. The
+        primary was demoted for that and reported the write, and a replica
+        without it was promoted, because an entry that the remaining replicas
+        lack was assumed to be unconfirmed.
         """
         driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
@@ -182,23 +182,23 @@
         self.assertEqual([], [o for o in orders if o.upstream != 'u1'])
 
 
-class BornAgainTest(testtools.TestCase):
-    """One that begins again under its name holds nothing of before."""
+class RecreatedMemberTest(testtools.TestCase):
+    """Test members recreated under the same name with an empty log."""
 
-    def born_again(self, driver: support.Driver, name: str) -> list:
-        """List a group in which one began again, as a replica."""
+    def recreate_member(self, driver: support.Driver, name: str) -> list:
+        """List a group in which one member was recreated as a replica."""
         return driver.list_upstreams(revision=2, born_ms={name: 99})
 
-    def test_replica_that_confirmed_the_last_write(self):
-        """Its log is gone, so the other one may lack the write.
+    def test_recreated_replica_had_confirmed_last_write(self):
+        """Its log is lost, so no remaining replica may hold the write.
 
-        Symptom: an acknowledged save is gone after a failover. Sequence: a
-        replica that receives nothing; the other confirms a save and starts
-        again, empty; the primary is lost. Cause: asking the one that began
-        again for what the one before it had.
+        An acknowledged write was lost in a failover: one replica received
+        nothing, the other confirmed a write and was recreated empty, and the
+        primary was lost. The recreated replica was queried for the log of its
+        predecessor.
         """
         driver = failover_support.make_lease_holder()
-        self.born_again(driver, 'u3')
+        self.recreate_member(driver, 'u3')
         driver.open_all(Place(0, 0))
         outs = failover_support.lose_primary(driver)
         for _ in range(4):
@@ -208,29 +208,29 @@
             outs += driver.tick(60)
         self.assertEqual([], support.orders(outs))
 
-    def test_its_places_are_forgotten(self):
-        """A place that it had would let it serve reads that it lacks."""
+    def test_recreated_member_loses_its_position(self):
+        """With its old log position it would serve reads that it lacks."""
         driver = support.Driver().ready()
-        self.born_again(driver, 'u3')
+        self.recreate_member(driver, 'u3')
         self.assertEqual(Place(0, 0), driver.state.upstreams['u3'].place)
 
-    def test_its_connections_are_closed(self):
-        """They led to the one before."""
+    def test_connections_to_recreated_member_are_closed(self):
+        """They belong to its predecessor."""
         driver = support.Driver().ready()
         before = {
             number
             for number, connection in driver.state.connections.items()
             if connection.upstream == 'u3'
         }
-        self.born_again(driver, 'u3')
+        self.recreate_member(driver, 'u3')
         self.assertEqual(set(), before & set(driver.state.connections))
 
-    def test_primary_that_began_again_is_lost(self):
-        """It answers, but it is another, and leads nobody.
+    def test_recreated_primary_counts_as_lost(self):
+        """It replies, but it is a different instance that does not lead.
 
-        Symptom: a group takes no saves for seconds. Sequence: a primary
-        crashes and is back within a moment, empty. Cause: waiting for the
-        silence of one that answers.
+        A group accepted no writes for seconds: a primary crashed and returned
+        empty at once, and the failover waited for an upstream that replies to
+        become silent.
         """
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
@@ -242,16 +242,16 @@
         (order,) = support.orders(outs)
         self.assertIn(order.upstream, ('u2', 'u3'))
 
-    def test_primary_and_a_replica_that_are_gone_for_good(self):
-        """Nobody that may come back can tell what the replica had.
+    def test_primary_and_replica_gone_permanently(self):
+        """No member that may return can report what the replica held.
 
-        Symptom: a group without a primary for the rest of the day, though its
-        members hold all that was acknowledged. Sequence: a replica leaves and
-        ends; the primary, whose log is longer than the others', crashes and
-        begins again, empty. Cause: waiting for what the replica may have
-        confirmed, though the primary's log is gone as surely as that of one
-        that left. Proof, from walk 6110: both members are at 2.7, all that is
-        acknowledged; u3 left at 3.9; ten attempts end with nobody to follow.
+        A group had no primary for the rest of the day although its members
+        held all acknowledged writes: a replica left and ended, and the
+        primary, whose log was longer than the others', crashed and was
+        recreated empty. Promotions waited for what the replica may have
+        confirmed, although the log of the primary was lost for good, too. In
+        walk 6110 both members were at 2.7, which covers all acknowledged
+        writes, u3 left at 3.9, and ten attempts ended without a successor.
         """
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True)
@@ -268,18 +268,18 @@
         ]
         self.assertTrue(gone.left)
 
-    def test_primary_whose_name_had_been_anothers(self):
-        """It is there, and so is what it may have had confirmed.
+    def test_primary_with_reused_name_is_not_gone(self):
+        """It is present, and so are writes that a replica confirmed for it.
 
-        Symptom: an acknowledged write is gone after a failover. Sequence: a
-        member begins again, and later leads; a replica confirms its writes
-        and leaves; the others received nothing, and one of them is promoted.
-        Cause: the primary was taken for gone for good, as the one that had
-        borne its name was. Proof, from walk 5968: 11453 ms u3 is gone; 11470
-        ms u1 is demoted, at 3.6; 11474 ms u2 is ordered at 2.3.
+        An acknowledged write was lost in a failover: a member was recreated
+        and later led, a replica confirmed its writes and left, the others
+        received nothing, and one of them was promoted. The primary was taken
+        for permanently gone, as the earlier member of its name was. In walk
+        5968 u3 was gone at 11453 ms, u1 was demoted at 3.6 at 11470 ms, and u2
+        was ordered at 2.3 at 11474 ms.
         """
         driver = support.Driver().ready()
-        self.born_again(driver, 'u2')
+        self.recreate_member(driver, 'u2')
         driver.state.primary = ''
         driver.state.upstreams['u1'].refuted_ms = driver.now_ms
         born = {'u2': 99}
@@ -297,24 +297,24 @@
         )
         self.assertEqual(['u3'], waited_for)
 
-    def begun_again_as_a_replica(self) -> support.Driver:
-        """Have the primary begin again, and follow another for a while."""
+    def recreated_as_replica(self) -> support.Driver:
+        """Return a group whose primary was recreated as a replica."""
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
         driver.open_all(Place(0, 0))
         driver.tick(20)
         return driver
 
-    def test_one_that_began_again_may_hold_more_than_the_others(self):
-        """It leads no more, and is a member like any other.
+    def test_recreated_member_may_hold_the_longest_log(self):
+        """It no longer leads and is a candidate like any other member.
 
-        Symptom: as above. Sequence: a primary begins again, empty, and
-        receives all of its successor's log; the successor is gone before the
-        holder of the duty has heard of it. Cause: the lost primary is nobody
-        to choose, whoever bears its name now. Proof, from walk 5932: u3 is at
-        1.3, all that is acknowledged; u1 and u2 are empty.
+        A group had no primary: a primary was recreated empty and received the
+        whole log of its successor, and the successor was gone before the
+        holder of the promotion lease received a reply from it. The name of the
+        lost primary was excluded as a candidate. In walk 5932 u3 was at 1.3,
+        which covers all acknowledged writes, and u1 and u2 were empty.
         """
-        driver = self.begun_again_as_a_replica()
+        driver = self.recreated_as_replica()
         driver.state.acknowledged = Place(1, 6)
         outs = []
         for _ in range(5):
@@ -325,9 +325,9 @@
         (order,) = support.orders(outs)
         self.assertEqual('u1', order.upstream)
 
-    def test_one_that_began_again_is_not_waited_for(self):
-        """Its start may take seconds, and the others are enough."""
-        driver = self.begun_again_as_a_replica()
+    def test_recreated_member_is_not_waited_for(self):
+        """Its start may take seconds, and the other members suffice."""
+        driver = self.recreated_as_replica()
         outs = []
         for _ in range(5):
             for connection in driver.busy('u2') + driver.busy('u3'):
@@ -338,16 +338,16 @@
         (order,) = support.orders(outs)
         self.assertEqual('u2', order.upstream)
 
-    def test_its_log_is_not_that_of_the_primary_before_it(self):
-        """What that one's log held is unknown.
+    def test_recreated_log_is_not_the_old_primary_log(self):
+        """The content of the log of the old primary is unknown.
 
-        Symptom: an acknowledged write is gone after a failover. Sequence: a
-        replica confirms a write and departs; the primary begins again,
-        empty; the other replica, without the write, is promoted. Cause: a
-        log as long as the last primary's was taken for complete, and the
-        empty log of the one that began again for the last primary's.
+        An acknowledged write was lost in a failover: a replica confirmed a
+        write and departed, the primary was recreated empty, and the other
+        replica was promoted without the write. A log as long as that of the
+        last primary counts as complete, and the empty log of the recreated
+        member was taken for it.
         """
-        driver = self.begun_again_as_a_replica()
+        driver = self.recreated_as_replica()
         driver.state.departed_members.add(driver.now_ms, 'u4')
         outs = []
         for _ in range(5):
@@ -357,9 +357,9 @@
             outs += driver.tick(20)
         self.assertEqual([], support.orders(outs))
 
-    def test_late_list_does_not_bring_the_earlier_one_back(self):
-        """Peers may tell what they read before."""
+    def test_late_list_does_not_restore_old_member(self):
+        """Peers may send a list that they read earlier."""
         driver = support.Driver().ready()
-        self.born_again(driver, 'u3')
+        self.recreate_member(driver, 'u3')
         driver.list_upstreams(revision=1)
         self.assertEqual(99, driver.state.upstreams['u3'].born_ms)
--- a/topazring/core/synchronous/tests/test_sessions.py
+++ b/topazring/core/synchronous/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Keep sessions apart, and answer what needs no upstream."""
+"""Test session state and the statements answered without an upstream."""
 
 import testtools
 
@@ -16,125 +16,131 @@
 Verb = statements.Verb
 
 
-def say(session: sessions.Session, verb: Verb, **more):
-    """Have a session say something; return what becomes of it."""
-    said = statements.Statement('r', verb, 'text', **more)
-    return sessions.handle_statement(session, 0, 5, said, support.OWN)
+def submit(session: sessions.Session, verb: Verb, **more):
+    """Submit a statement to a session and return the result."""
+    statement = statements.Statement('r', verb, 'text', **more)
+    return sessions.handle_statement(session, 0, 5, statement, support.OWN)
 
 
-def fresh() -> sessions.Session:
-    """Return a session that has said nothing."""
+def new_session() -> sessions.Session:
+    """Return a new session."""
     return sessions.Session(1, 'own')
 
 
 class SessionTest(testtools.TestCase):
-    """A session is what its caller made of it."""
+    """Test the state of a single session."""
 
     def test_begin_takes_no_connection(self):
-        """A caller that pauses after BEGIN holds nothing."""
-        session = fresh()
-        taken = say(session, Verb.BEGIN)
-        self.assertIsInstance(taken, sessions.LocalAnswer)
+        """A caller that pauses after BEGIN must not hold a connection."""
+        session = new_session()
+        result = submit(session, Verb.BEGIN)
+        self.assertIsInstance(result, sessions.LocalAnswer)
         self.assertEqual(SessionState.IN_TRANSACTION, session.state)
 
-    def test_first_statement_begins(self):
-        """It chooses the upstream."""
-        session = fresh()
-        say(session, Verb.BEGIN)
-        request = say(session, Verb.READ)
+    def test_first_statement_begins_transaction(self):
+        """The first statement decides the upstream of the transaction."""
+        session = new_session()
+        submit(session, Verb.BEGIN)
+        request = submit(session, Verb.READ)
         self.assertTrue(request.begins)
         sessions.record_outcome(session, request, outcomes.Done([], None))
-        self.assertFalse(say(session, Verb.READ).begins)
+        self.assertFalse(submit(session, Verb.READ).begins)
 
-    def test_failed_transaction_takes_only_its_end(self):
-        """Everything else is refused until then."""
-        session = fresh()
-        say(session, Verb.BEGIN)
-        request = say(session, Verb.WRITE)
+    def test_failed_transaction_accepts_only_its_end(self):
+        """Other statements are rejected until ROLLBACK or COMMIT."""
+        session = new_session()
+        submit(session, Verb.BEGIN)
+        request = submit(session, Verb.WRITE)
         lost = outcomes.NotRun(outcomes.Reason.TRANSACTION_LOST, 0)
         sessions.record_outcome(session, request, lost)
-        refused = say(session, Verb.READ)
+        refused = submit(session, Verb.READ)
         self.assertIsInstance(refused.outcome, outcomes.Rejected)
         self.assertIsInstance(
-            say(session, Verb.ROLLBACK).outcome, outcomes.Done
+            submit(session, Verb.ROLLBACK).outcome, outcomes.Done
         )
         self.assertEqual(SessionState.IDLE, session.state)
 
-    def test_commit_of_a_failed_transaction_is_no_success(self):
-        """It rolled back."""
-        session = fresh()
+    def test_commit_of_failed_transaction_is_not_run(self):
+        """A failed transaction was rolled back; COMMIT must report that."""
+        session = new_session()
         session.state = SessionState.FAILED
-        taken = say(session, Verb.COMMIT)
-        self.assertIsInstance(taken.outcome, outcomes.NotRun)
+        result = submit(session, Verb.COMMIT)
+        self.assertIsInstance(result.outcome, outcomes.NotRun)
         self.assertEqual(SessionState.IDLE, session.state)
 
-    def test_unknown_prepared_name(self):
-        """It did not run."""
-        taken = say(fresh(), Verb.EXECUTE, name='s1')
-        self.assertEqual(outcomes.Reason.NO_STATEMENT, taken.outcome.reason)
-
-    def test_write_in_a_read_only_transaction(self):
-        """It is refused here, and costs no primary its good name."""
-        session = fresh()
-        say(session, Verb.BEGIN, read_only=True)
-        taken = say(session, Verb.WRITE)
-        self.assertIsInstance(taken.outcome, outcomes.Rejected)
-
-    def test_rollback_undoes_what_was_begun(self):
-        """Only a transaction that took a connection has to be undone."""
-        session = fresh()
-        say(session, Verb.BEGIN)
-        self.assertEqual(0, say(session, Verb.ROLLBACK).ends)
-        say(session, Verb.BEGIN)
-        request = say(session, Verb.READ)
+    def test_unknown_prepared_name_is_rejected(self):
+        """EXECUTE of an unknown name does not run."""
+        result = submit(new_session(), Verb.EXECUTE, name='s1')
+        self.assertEqual(outcomes.Reason.NO_STATEMENT, result.outcome.reason)
+
+    def test_write_in_read_only_transaction_is_rejected(self):
+        """It is rejected locally.
+
+        A refusal by the upstream would count as one of an upstream that does
+        not lead, and the primary would be result for replaced.
+        """
+        session = new_session()
+        submit(session, Verb.BEGIN, read_only=True)
+        result = submit(session, Verb.WRITE)
+        self.assertIsInstance(result.outcome, outcomes.Rejected)
+
+    def test_rollback_ends_open_transaction(self):
+        """Only a transaction that took a connection is rolled back there."""
+        session = new_session()
+        submit(session, Verb.BEGIN)
+        self.assertEqual(0, submit(session, Verb.ROLLBACK).ends)
+        submit(session, Verb.BEGIN)
+        request = submit(session, Verb.READ)
         sessions.record_outcome(session, request, outcomes.Done([], None))
-        self.assertEqual(5, say(session, Verb.ROLLBACK).ends)
+        self.assertEqual(5, submit(session, Verb.ROLLBACK).ends)
 
-    def test_change_of_a_route_waits_for_the_next_transaction(self):
-        """An open one keeps the policy that it began with."""
-        session = fresh()
-        say(session, Verb.BEGIN)
+    def test_policy_change_applies_to_next_transaction(self):
+        """An open transaction keeps the policy that it began with."""
+        session = new_session()
+        submit(session, Verb.BEGIN)
         changed = messages.Policy('own', 't', messages.Freshness.PRIMARY)
-        said = statements.Statement('r', Verb.READ, 'text')
-        request = sessions.handle_statement(session, 0, 5, said, changed)
+        statement = statements.Statement('r', Verb.READ, 'text')
+        request = sessions.handle_statement(session, 0, 5, statement, changed)
         self.assertEqual('s', request.policy.service)
 
-    def test_commit_moves_the_session_on(self):
-        """Reads of the session see it from then on."""
-        session = fresh()
-        request = say(session, Verb.WRITE)
+    def test_commit_advances_session_position(self):
+        """Later reads of the session must see its last commit."""
+        session = new_session()
+        request = submit(session, Verb.WRITE)
         done = outcomes.Done([], log_positions.LogPosition(2, 7))
         sessions.record_outcome(session, request, done)
         self.assertEqual(
             log_positions.LogPosition(2, 7),
-            say(session, Verb.READ).session_place,
+            submit(session, Verb.READ).session_place,
         )
 
-    def test_dropped_database(self):
-        """There is no such database any more."""
-        said = statements.Statement('r', Verb.READ, 'text')
-        taken = sessions.handle_statement(fresh(), 0, 5, said, None)
+    def test_dropped_database_is_rejected(self):
+        """Statements for a database that no longer exists are rejected."""
+        statement = statements.Statement('r', Verb.READ, 'text')
+        result = sessions.handle_statement(
+            new_session(), 0, 5, statement, None
+        )
         self.assertEqual(
-            outcomes.Reason.UNKNOWN_DATABASE, taken.outcome.reason
+            outcomes.Reason.UNKNOWN_DATABASE, result.outcome.reason
         )
 
 
 class AdaptTest(testtools.TestCase):
-    """A shared connection is brought to its session's state."""
+    """Test that a shared connection is adapted to its session."""
 
     def request(self, values=None, prepared=None) -> messages.Request:
-        """Return a read of a session with this state."""
-        said = statements.Statement('r', Verb.READ, 'text')
+        """Return a read of a session with the given state."""
+        statement = statements.Statement('r', Verb.READ, 'text')
         return messages.Request(
-            1, said, support.OWN, False, 0,
+            1, statement, support.OWN, False, 0,
             values=values or {}, prepared=prepared,
         )  # fmt: skip
 
     def test_values_of_another_session_are_cleared(self):
-        """Symptom: a query runs in another caller's time zone.
+        """A query must not run in the time zone of another caller.
 
-        Sequence: one session sets a value on a shared connection; another
-        uses the connection next. Cause: a value outlives its session.
+        This happens if one session sets a value on a shared connection and
+        another session uses it next without a reset.
         """
         connection = states.Connection(1, 'u1')
         exchanges.adapt(connection, self.request({'zone': 'cork'}))
@@ -143,7 +149,7 @@
         self.assertEqual({}, connection.values)
 
     def test_only_what_differs_is_sent(self):
-        """Most sessions fit any connection."""
+        """Values that are already set are not sent again."""
         connection = states.Connection(1, 'u1')
         exchanges.adapt(connection, self.request({'a': '1', 'b': '2'}))
         commands = exchanges.adapt(
@@ -152,23 +158,23 @@
         self.assertEqual([statements.SetValue('b', '3')], commands)
 
     def test_names_are_shared_by_shape(self):
-        """Callers' names collide; shapes do not."""
-        first, second = fresh(), fresh()
+        """Prepared names of callers collide; shared names do not."""
+        first, second = new_session(), new_session()
         for session, shape in ((first, 'q1'), (second, 'q2')):
-            say(session, Verb.PREPARE, name='s', value=shape)
+            submit(session, Verb.PREPARE, name='s', value=shape)
         connection = states.Connection(1, 'u1')
         sent = []
         for session in (first, second, first):
-            request = say(session, Verb.EXECUTE, name='s', arguments='k')
+            request = submit(session, Verb.EXECUTE, name='s', arguments='k')
             sent += exchanges.adapt(connection, request)
         shapes = [command.shape for command in sent]
         self.assertEqual(['q1', 'q2'], shapes)
 
     def test_access_is_part_of_the_shared_name(self):
-        """The same shape may read in one session and write in another."""
-        first, second = fresh(), fresh()
-        say(first, Verb.PREPARE, name='s', value='q', access=Access.READ)
-        say(second, Verb.PREPARE, name='s', value='q', access=Access.WRITE)
+        """One shape may be a read in one session and a write in another."""
+        first, second = new_session(), new_session()
+        submit(first, Verb.PREPARE, name='s', value='q', access=Access.READ)
+        submit(second, Verb.PREPARE, name='s', value='q', access=Access.WRITE)
         self.assertNotEqual(
             first.prepared['s'].name, second.prepared['s'].name
         )
--- a/topazring/core/synchronous/tests/upstream_side.py
+++ b/topazring/core/synchronous/tests/upstream_side.py
@@ -1,4 +1,4 @@
-"""Say what upstreams and the platform do in the simulated world."""
+"""Simulate upstreams and the platform."""
 
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
@@ -8,25 +8,26 @@
 Role = statements.Role
 
 PROMOTE_MS = 120
-# A replaced primary stops leading that long after it can reach its successor.
+# Time after which a replaced primary steps down once it can reach its
+# successor.
 STEP_DOWN_MS = 1000
-# How often it is looked at whether it can.
-STEP_DOWN_LOOK_MS = 100
-# A leaving primary that still leads is looked at again after that.
+# Interval at which this is checked.
+STEP_DOWN_CHECK_MS = 100
+# Retry interval for the end of a leaving member that still leads.
 RETRY_END_MS = 500
 
 
 class UpstreamSide:
-    """Run commands, replicate, promote; `World` gives time and links."""
+    """Run commands, replicate, promote; `Simulation` adds time and links."""
 
     # ---- what upstreams do ----
 
     def execute(self, wire: fake_group.Wire, command: object) -> None:
-        """Run one command and note its reply."""
+        """Run one command and queue its reply."""
         if (wire.proxy, wire.number) not in self.wires:
             return
         member = self.members[wire.upstream]
-        if member.dark:
+        if member.is_down:
             return
         reply = self.reply_to(wire, member, command)
         if reply is not None:
@@ -36,12 +37,12 @@
     def ok(
         self, wire: fake_group.Wire, signature: str = '-', **more
     ) -> statements.Reply:
-        """Return a success."""
+        """Return a success reply."""
         place = self.members[wire.upstream].place()
         return fake_group.ok(wire, place, signature, **more)
 
     def refuse(self, wire: fake_group.Wire, code: Code) -> statements.Reply:
-        """Return a refusal; a transaction fails by it."""
+        """Return a refusal and fail the open transaction."""
         place = self.members[wire.upstream].place()
         return fake_group.refuse(wire, place, code)
 
@@ -51,7 +52,7 @@
         member: fake_group.Member,
         command: object,
     ) -> statements.Reply | None:
-        """Return a reply, None if it comes later."""
+        """Return the reply to a command, None if it is sent later."""
         match command:
             case statements.Begin():
                 return self.begin(wire, member, command)
@@ -102,7 +103,7 @@
         member: fake_group.Member,
         command: statements.Pause,
     ) -> statements.Reply:
-        """Pause a replica if the term is above the newest."""
+        """Pause a replica if the term is above its own."""
         if member.role is Role.REPLICA and command.term > member.term:
             member.held_term = command.term
         return self.ok(wire, report=fake_group.report(member))
@@ -113,11 +114,11 @@
         member: fake_group.Member,
         command: statements.Demote,
     ) -> statements.Reply:
-        """Make a primary of a lower term a replica."""
+        """Demote a primary of a lower term to a replica."""
         if member.role is Role.PRIMARY and command.term > member.term:
             member.role = Role.REPLICA
             self.note(f'{member.name} is demoted')
-            self.relist(member)
+            self.update_listing(member)
         return self.ok(wire, report=fake_group.report(member))
 
     def statement(
@@ -126,7 +127,7 @@
         member: fake_group.Member,
         command: statements.Run | statements.Execute,
     ) -> statements.Reply | None:
-        """Run a caller's read or write."""
+        """Run a read or write of a caller."""
         if wire.failed:
             return self.refuse(wire, Code.OTHER)
         if self.rng.random() < 0.02:
@@ -156,7 +157,7 @@
         member: fake_group.Member,
         command: statements.Commit,
     ) -> statements.Reply | None:
-        """Commit; one that wrote waits for a replica."""
+        """Commit; a transaction with writes waits for a replica."""
         signature = f'{command.request_id}/{next(self.signatures)}'
         if wire.failed or wire.read_only is None:
             return self.refuse(wire, Code.OTHER)
@@ -176,7 +177,7 @@
         writes: list[str],
         signature: str,
     ) -> None:
-        """Add a commit to the primary's log; it waits for a replica."""
+        """Append a commit to the log; its reply waits for a replica."""
         entry = fake_group.Entry(member.term, tuple(writes))
         self.oracle.commits(entry)
         member.log.append(entry)
@@ -195,56 +196,58 @@
     def receive(
         self, primary: fake_group.Member, member: fake_group.Member
     ) -> None:
-        """Have a replica receive what its primary has."""
+        """Copy the log of a primary to a replica."""
         if primary.role is not Role.PRIMARY or member.role is Role.PRIMARY:
             return
-        if member.held_term or member.dark or primary.dark:
+        if member.held_term or member.is_down or primary.is_down:
             return
-        if self.now_ms < member.deaf_until_ms:
+        if self.now_ms < member.not_receiving_until_ms:
             return
-        if self.is_cut(primary, member):
+        if self.is_partitioned(primary, member):
             return
-        if self.follows_newer(member, primary):
+        if self.can_follow_newer(member, primary):
             return
         same = member.term == primary.term
         if same and len(member.log) >= len(primary.log):
             return
-        self.cut_back(member, primary)
+        self.truncate_log(member, primary)
         member.term = primary.term
         member.log = list(primary.log)
         self.at(self.delay(), self.acknowledge, primary, len(member.log))
         self.at(member.lag_ms, self.apply, member, len(member.log))
 
-    def follows_newer(
+    def can_follow_newer(
         self, member: fake_group.Member, primary: fake_group.Member
     ) -> bool:
-        """Say whether a replica follows, or can reach, a newer primary."""
+        """Return whether a replica follows or can reach a newer primary."""
         return member.term > primary.term or any(
             other.role is Role.PRIMARY
             and other.term > primary.term
-            and not self.is_cut(other, member)
+            and not self.is_partitioned(other, member)
             for other in self.members.values()
         )
 
-    def is_cut(self, one: fake_group.Member, other: fake_group.Member) -> bool:
-        """Say whether two members cannot reach each other."""
-        if one.dark or other.dark:
+    def is_partitioned(
+        self, one: fake_group.Member, other: fake_group.Member
+    ) -> bool:
+        """Return whether two members cannot reach each other."""
+        if one.is_down or other.is_down:
             return True
         return frozenset((one.name, other.name)) in self.cut_pairs
 
     def apply(self, member: fake_group.Member, upto: int) -> None:
-        """Have a replica apply what it received."""
+        """Apply received entries at a replica."""
         member.applied = max(member.applied, min(upto, len(member.log)))
 
     def acknowledge(self, primary: fake_group.Member, upto: int) -> None:
-        """Answer the commits that a replica has received."""
-        if primary.role is not Role.PRIMARY or primary.dark:
+        """Reply to the commits that a replica has received."""
+        if primary.role is not Role.PRIMARY or primary.is_down:
             return
         left = []
         for item in self.waiting_acks:
             term, number, wire, signature = item
-            mine = wire.upstream == primary.name and term == primary.term
-            if mine and number <= upto:
+            is_own = wire.upstream == primary.name and term == primary.term
+            if is_own and number <= upto:
                 if (wire.proxy, wire.number) in self.wires:
                     wire.replies.append(self.ok(wire, signature))
                     self.work(wire)
@@ -252,32 +255,32 @@
                 left.append(item)
         self.waiting_acks = left
 
-    # ---- coming and leaving ----
+    # ---- starting and leaving ----
 
-    def come(self, name: str) -> None:
+    def add_member(self, name: str) -> None:
         """Start a new replica; it receives the whole log."""
         member = fake_group.Member(name, Role.REPLICA)
         self.members[name] = member
         self.note(f'{name} starts')
-        self.relist(member)
+        self.update_listing(member)
         for other in self.members.values():
             if other.role is Role.PRIMARY:
                 self.replicate(other)
 
-    def leaves(self, member: fake_group.Member) -> None:
-        """Have a member say that it will end."""
+    def announce_leaving(self, member: fake_group.Member) -> None:
+        """Mark a member as leaving."""
         member.leaving = True
         self.note(f'{member.name} leaves')
-        self.relist(member)
+        self.update_listing(member)
 
-    def ends(self, member: fake_group.Member) -> None:
-        """End a member that left; its log is gone with it.
+    def remove_member(self, member: fake_group.Member) -> None:
+        """End a member that left; its log is lost.
 
-        A primary that nobody could replace in time stays: what its successor
-        would take over from it is not played here.
+        A primary that could not be replaced in time stays: the transfer of its
+        log to a successor is not simulated here.
         """
-        if member.role is Role.PRIMARY or member.dark:
-            self.at(RETRY_END_MS, self.ends, member)
+        if member.role is Role.PRIMARY or member.is_down:
+            self.at(RETRY_END_MS, self.remove_member, member)
             return
         self.note(f'{member.name} ends')
         del self.members[member.name]
@@ -285,14 +288,14 @@
             if wire.upstream == member.name:
                 self.reset(wire)
         for proxy in self.states:
-            self.at(self.delay(), self.tell_list, proxy)
+            self.at(self.delay(), self.send_list, proxy)
 
     # ---- promotion ----
 
     def order_promotion(
         self, proxy: str, out: messages.OrderPromotion
     ) -> None:
-        """Take an order; it may be late, or its answer may be lost."""
+        """Handle a promotion order; it may be late and unanswered."""
         how = self.rng.random()
         if how < 0.1:
             late_ms = self.rng.choice((50, 900, 3000))
@@ -305,7 +308,7 @@
         self.at(self.delay(), self.answer_order, proxy, out)
 
     def answer_order(self, proxy: str, out: messages.OrderPromotion) -> None:
-        """Carry an order out and answer it."""
+        """Execute a promotion order and answer it."""
         result = self.promote(out, proxy)
         self.at(self.delay(), self.ordered, proxy, out, result)
 
@@ -315,12 +318,12 @@
         out: messages.OrderPromotion,
         result: messages.OrderResult,
     ) -> None:
-        """Tell a proxy what became of its order."""
+        """Send a proxy the result of its promotion order."""
         self.post(
             proxy, messages.PromotionOrdered(out.upstream, out.token, result)
         )
         if result is messages.OrderResult.REFUSED:
-            self.at(30, self.confirm_duty, proxy)
+            self.at(30, self.confirm_lease, proxy)
 
     def promote(
         self,
@@ -328,24 +331,29 @@
         proxy: str,
         born_ms: int | None = None,
     ) -> messages.OrderResult:
-        """Check the token; some ms later the upstream leads.
+        """Check the token and schedule the promotion.
 
-        An order that is late does not hold for one that began again since.
+        A late order is refused for an upstream that was recreated since.
         """
         member = self.members.get(out.upstream)
         if member is not None and born_ms not in (None, member.born_ms):
             return messages.OrderResult.REFUSED
-        if member is None or out.token < self.token_seen or member.dark:
+        if member is None or out.token < self.token_seen or member.is_down:
             return messages.OrderResult.REFUSED
         self.token_seen = out.token
         if member.role is not Role.PRIMARY:
             born_ms = member.born_ms
             self.at(
-                self.promote_ms, self.lead, member, out.token, proxy, born_ms
+                self.promote_ms,
+                self.become_primary,
+                member,
+                out.token,
+                proxy,
+                born_ms,
             )
         return messages.OrderResult.ACCEPTED
 
-    def lead(
+    def become_primary(
         self,
         member: fake_group.Member,
         token: int,
@@ -354,31 +362,35 @@
     ) -> None:
         """Make a member the primary of the next term."""
         ended = member.name not in self.members or member.born_ms != born_ms
-        if ended or token < self.token_seen or member.dark:
+        if ended or token < self.token_seen or member.is_down:
             return
         if member.role is Role.PRIMARY:
             return
         self.term += 1
         self.note(f'{member.name} leads {self.term} at {member.received()}')
-        cut: set[str] = set()
+        truncated: set[str] = set()
         for other in self.members.values():
             if other is member:
                 continue
-            cut |= {w for entry in other.log for w in entry.writes}
+            truncated |= {w for entry in other.log for w in entry.writes}
             if other.role is Role.PRIMARY:
                 self.at(
-                    STEP_DOWN_LOOK_MS, self.step_down, other, member, self.term
+                    STEP_DOWN_CHECK_MS,
+                    self.step_down,
+                    other,
+                    member,
+                    self.term,
                 )
-            elif not self.is_cut(other, member):
-                self.cut_back(other, member)
+            elif not self.is_partitioned(other, member):
+                self.truncate_log(other, member)
                 other.held_term = 0
                 other.term = self.term
-        self.oracle.promoted(member, cut, token, proxy, self.term)
+        self.oracle.promoted(member, truncated, token, proxy, self.term)
         member.role = Role.PRIMARY
         member.term = self.term
         member.held_term = 0
         member.applied = len(member.log)
-        self.relist(member)
+        self.update_listing(member)
         self.replicate(member)
 
     def step_down(
@@ -388,16 +400,16 @@
         term: int,
         reached_ms: int = 0,
     ) -> None:
-        """End a replaced primary's lead a while after it can learn of it."""
+        """Demote a replaced primary some time after it reaches the new one."""
         if old.role is not Role.PRIMARY or old.term >= term:
             return
-        if self.is_cut(old, successor):
+        if self.is_partitioned(old, successor):
             reached_ms = 0
         else:
-            reached_ms += STEP_DOWN_LOOK_MS
+            reached_ms += STEP_DOWN_CHECK_MS
         if reached_ms < STEP_DOWN_MS:
             self.at(
-                STEP_DOWN_LOOK_MS,
+                STEP_DOWN_CHECK_MS,
                 self.step_down,
                 old,
                 successor,
@@ -408,26 +420,26 @@
         old.role = Role.REPLICA
         self.note(f'{old.name} steps down')
         if successor.role is Role.PRIMARY:
-            self.cut_back(old, successor)
-        self.relist(old)
+            self.truncate_log(old, successor)
+        self.update_listing(old)
 
-    def cut_back(
+    def truncate_log(
         self, other: fake_group.Member, primary: fake_group.Member
     ) -> None:
-        """Roll a member back to what it shares with its new primary."""
+        """Truncate a log to the prefix that it shares with the primary."""
         shared = 0
-        for mine, theirs in zip(other.log, primary.log, strict=False):
-            if mine != theirs:
+        for entry, expected in zip(other.log, primary.log, strict=False):
+            if entry != expected:
                 break
             shared += 1
         del other.log[shared:]
         other.applied = min(other.applied, shared)
 
-    def relist(self, member: fake_group.Member) -> None:
-        """Have the platform list a member anew, and proxies learn of it."""
+    def update_listing(self, member: fake_group.Member) -> None:
+        """Update the entry of a member and notify most proxies."""
         self.order_revision = getattr(self, 'order_revision', 1) + 1
         member.revision = self.order_revision
         for proxy in self.states:
             if self.rng.random() < 0.9:
                 late_ms = self.rng.choice((5, 40, 800))
-                self.at(late_ms, self.tell_list, proxy)
+                self.at(late_ms, self.send_list, proxy)
--- a/topazring/core/synchronous/tests/walks.py
+++ b/topazring/core/synchronous/tests/walks.py
@@ -1,18 +1,18 @@
-"""Walk through the world at random."""
+"""Run random walks through the simulation."""
 
 import random
 
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import fake_group
-from topazring.core.synchronous.tests import simulation as worlds
+from topazring.core.synchronous.tests import simulation as simulations
 from topazring.core.synchronous.tests import upstream_side
 
 Verb = statements.Verb
 Access = statements.Access
 
-# Three missed heartbeats.
-LAPSE_MS = 3000
+# Expiry of an entry: three missed heartbeats.
+EXPIRY_MS = 3000
 
 ACTIONS = (
     ('time', 30),
@@ -36,9 +36,10 @@
     ('begin_again', 1),
     ('release', 1),
 )
-# Sessions whose requests come from other proxies, which are lost.
+# Sessions are forwarded by other proxies, whose streams may be lost.
 THROUGH_ENTRIES = (*ACTIONS, ('lose_entry', 2))
-# Members are replaced one after the other, while some receive nothing.
+# Members are replaced one after the other while some receive nothing; these
+# actions are left out.
 CALM = frozenset(
     {'begin_again', 'dark', 'duty', 'restart', 'lapse', 'freeze', 'release'}
 )
@@ -47,14 +48,14 @@
     for name, weight in ACTIONS
     if name not in CALM
 ) + (('replace_in_turn', 2),)
-# The longest that the users' upstreams take.
+# The longest duration of a promotion at the users' upstreams.
 SLOW_PROMOTE_MS = 1000
-# A process that ended takes longer to be back than a promotion.
+# A restart of a process takes longer than a promotion.
 RESTART_MS = 400
-# A leaving upstream goes on for so long after it said so.
+# How long a leaving upstream keeps running after it reported so.
 DRAIN_MS = 7000
-# A successor starts first.
-SUCCEEDS_MS = 400
+# How long the successor runs before the member leaves.
+SUCCESSOR_LEAD_MS = 400
 
 
 def walk(
@@ -62,23 +63,23 @@
     steps: int,
     actions: tuple[tuple[str, int], ...] = ACTIONS,
     promote_ms: int = upstream_side.PROMOTE_MS,
-) -> worlds.Simulation:
-    """Walk at random; raise Violation when a promise is broken."""
+) -> simulations.Simulation:
+    """Run a random walk; raise Violation if a guarantee is violated."""
     rng = random.Random(seed)
-    world = worlds.Simulation(seed, promote_ms)
-    world.run(300)
+    simulation = simulations.Simulation(seed, promote_ms)
+    simulation.run(300)
     for _ in range(6):
-        world.open_session()
+        simulation.open_session()
     names = [name for name, _ in actions]
     weights = [weight for _, weight in actions]
     try:
         for action in rng.choices(names, weights, k=steps):
-            _actions[action](world, rng)
-        world.finish()
+            _actions[action](simulation, rng)
+        simulation.finish()
     except fake_group.Violation as error:
-        tail = '\n'.join(world.trace[-60:])
+        tail = '\n'.join(simulation.trace[-60:])
         raise fake_group.Violation(f'seed {seed}: {error}\n{tail}') from None
-    return world
+    return simulation
 
 
 _actions = {}
@@ -90,42 +91,46 @@
 
 
 @_action
-def _time(world: worlds.Simulation, rng: random.Random) -> None:
-    world.run(rng.choice((1, 3, 10, 40, 150)))
+def _time(simulation: simulations.Simulation, rng: random.Random) -> None:
+    simulation.run(rng.choice((1, 3, 10, 40, 150)))
 
 
 @_action
-def _arrive(world: worlds.Simulation, rng: random.Random) -> None:
-    if len(world.sessions) < 8:
-        world.open_session()
+def _arrive(simulation: simulations.Simulation, rng: random.Random) -> None:
+    if len(simulation.sessions) < 8:
+        simulation.open_session()
 
 
 @_action
-def _leave(world: worlds.Simulation, rng: random.Random) -> None:
-    if world.sessions:
-        proxy, session = rng.choice(world.sessions)
-        if not world.is_busy(session):
-            world.leave(proxy, session)
+def _leave(simulation: simulations.Simulation, rng: random.Random) -> None:
+    if simulation.sessions:
+        proxy, session = rng.choice(simulation.sessions)
+        if not simulation.is_busy(session):
+            simulation.end_session(proxy, session)
 
 
 @_action
-def _lose_entry(world: worlds.Simulation, rng: random.Random) -> None:
-    if world.sessions:
-        world.lose_entry(*rng.choice(world.sessions))
+def _lose_entry(
+    simulation: simulations.Simulation, rng: random.Random
+) -> None:
+    if simulation.sessions:
+        simulation.detach_session(*rng.choice(simulation.sessions))
 
 
 @_action
-def _speak(world: worlds.Simulation, rng: random.Random) -> None:
+def _speak(simulation: simulations.Simulation, rng: random.Random) -> None:
     free = [
         (proxy, session)
-        for proxy, session in world.sessions
-        if not world.is_busy(session)
+        for proxy, session in simulation.sessions
+        if not simulation.is_busy(session)
     ]
     if not free:
         return
     proxy, session = rng.choice(free)
-    request_id = f'r{next(world.keys)}'
-    world.say(proxy, session, _statement(rng, request_id, session))
+    request_id = f'r{next(simulation.keys)}'
+    simulation.submit_statement(
+        proxy, session, _statement(rng, request_id, session)
+    )
 
 
 def _statement(rng, request_id: str, session) -> statements.Statement:
@@ -152,185 +157,206 @@
 
 
 @_action
-def _silence(world: worlds.Simulation, rng: random.Random) -> None:
-    if world.wires:
-        rng.choice(list(world.wires.values())).silent = True
+def _silence(simulation: simulations.Simulation, rng: random.Random) -> None:
+    if simulation.wires:
+        rng.choice(list(simulation.wires.values())).silent = True
 
 
 @_action
-def _reset(world: worlds.Simulation, rng: random.Random) -> None:
-    if world.wires:
-        world.reset(rng.choice(list(world.wires.values())))
+def _reset(simulation: simulations.Simulation, rng: random.Random) -> None:
+    if simulation.wires:
+        simulation.reset(rng.choice(list(simulation.wires.values())))
 
 
 @_action
-def _lose_answer(world: worlds.Simulation, rng: random.Random) -> None:
-    if world.wires:
-        rng.choice(list(world.wires.values())).lose_answer = True
+def _lose_answer(
+    simulation: simulations.Simulation, rng: random.Random
+) -> None:
+    if simulation.wires:
+        rng.choice(list(simulation.wires.values())).lose_answer = True
 
 
 @_action
-def _dark(world: worlds.Simulation, rng: random.Random) -> None:
-    if any(member.dark for member in world.members.values()):
+def _dark(simulation: simulations.Simulation, rng: random.Random) -> None:
+    if any(member.is_down for member in simulation.members.values()):
         return
-    member = rng.choice(list(world.members.values()))
-    _go_dark(world, member)
-    for wire in list(world.wires.values()):
+    member = rng.choice(list(simulation.members.values()))
+    _stop_member(simulation, member)
+    for wire in list(simulation.wires.values()):
         if wire.upstream == member.name:
             wire.silent = True
 
 
-def _go_dark(world: worlds.Simulation, member: fake_group.Member) -> None:
-    member.dark = True
-    member.dark_since_ms = int(world.now_ms)
-    world.note(f'{member.name} goes dark')
+def _stop_member(
+    simulation: simulations.Simulation, member: fake_group.Member
+) -> None:
+    member.is_down = True
+    member.down_since_ms = int(simulation.now_ms)
+    simulation.note(f'{member.name} is down')
 
 
 @_action
-def _back(world: worlds.Simulation, rng: random.Random) -> None:
-    for member in list(world.members.values()):
-        if member.dark and world.now_ms - member.dark_since_ms >= RESTART_MS:
-            _return(world, member)
+def _back(simulation: simulations.Simulation, rng: random.Random) -> None:
+    for member in list(simulation.members.values()):
+        if (
+            member.is_down
+            and simulation.now_ms - member.down_since_ms >= RESTART_MS
+        ):
+            _start_member(simulation, member)
 
 
-def _return(world: worlds.Simulation, member: fake_group.Member) -> None:
-    if not member.dark:
+def _start_member(
+    simulation: simulations.Simulation, member: fake_group.Member
+) -> None:
+    if not member.is_down:
         return
-    member.dark = False
+    member.is_down = False
     member.held_term = 0
     member.listed = True
-    world.note(f'{member.name} is back')
-    for key, wire in list(world.wires.items()):
+    simulation.note(f'{member.name} is up again')
+    for key, wire in list(simulation.wires.items()):
         if wire.upstream == member.name:
-            del world.wires[key]
-    for proxy in worlds.PROXIES:
-        world.tell_list(proxy)
-    for other in world.members.values():
+            del simulation.wires[key]
+    for proxy in simulations.PROXIES:
+        simulation.send_list(proxy)
+    for other in simulation.members.values():
         if other.role is statements.Role.PRIMARY:
-            world.replicate(other)
+            simulation.replicate(other)
 
 
 @_action
-def _deaf(world: worlds.Simulation, rng: random.Random) -> None:
-    member = rng.choice(list(world.members.values()))
-    member.deaf_until_ms = int(world.now_ms) + rng.choice((300, 1500, 4000))
-    world.note(f'{member.name} is deaf until {member.deaf_until_ms}')
+def _deaf(simulation: simulations.Simulation, rng: random.Random) -> None:
+    member = rng.choice(list(simulation.members.values()))
+    member.not_receiving_until_ms = int(simulation.now_ms) + rng.choice(
+        (300, 1500, 4000)
+    )
+    simulation.note(
+        f'{member.name} receives nothing until {member.not_receiving_until_ms}'
+    )
 
 
 @_action
-def _cut(world: worlds.Simulation, rng: random.Random) -> None:
-    names = [*worlds.PROXIES, *world.members]
+def _cut(simulation: simulations.Simulation, rng: random.Random) -> None:
+    names = [*simulations.PROXIES, *simulation.members]
     pair = frozenset(rng.sample(names, 2))
-    world.cut_pairs.add(pair)
-    world.note(f'cut {sorted(pair)}')
+    simulation.cut_pairs.add(pair)
+    simulation.note(f'cut {sorted(pair)}')
 
 
 @_action
-def _heal_cut(world: worlds.Simulation, rng: random.Random) -> None:
-    world.cut_pairs.clear()
+def _heal_cut(simulation: simulations.Simulation, rng: random.Random) -> None:
+    simulation.cut_pairs.clear()
 
 
 @_action
-def _freeze(world: worlds.Simulation, rng: random.Random) -> None:
-    proxy = rng.choice(worlds.PROXIES)
+def _freeze(simulation: simulations.Simulation, rng: random.Random) -> None:
+    proxy = rng.choice(simulations.PROXIES)
     for_ms = rng.choice((200, 900, 3000))
-    world.frozen_until_ms[proxy] = int(world.now_ms) + for_ms
-    world.note(f'{proxy} is frozen for {for_ms}')
+    simulation.frozen_until_ms[proxy] = int(simulation.now_ms) + for_ms
+    simulation.note(f'{proxy} is paused for {for_ms}')
 
 
 @_action
-def _duty(world: worlds.Simulation, rng: random.Random) -> None:
-    proxy = rng.choice(worlds.PROXIES)
-    for other in worlds.PROXIES:
+def _duty(simulation: simulations.Simulation, rng: random.Random) -> None:
+    proxy = rng.choice(simulations.PROXIES)
+    for other in simulations.PROXIES:
         if other != proxy and rng.random() < 0.7:
-            world.post(other, messages.PromotionLeaseSeen(False))
-    world.give_duty(proxy)
+            simulation.post(other, messages.PromotionLeaseSeen(False))
+    simulation.grant_lease(proxy)
 
 
 @_action
-def _lag(world: worlds.Simulation, rng: random.Random) -> None:
-    rng.choice(list(world.members.values())).lag_ms = rng.choice(
+def _lag(simulation: simulations.Simulation, rng: random.Random) -> None:
+    rng.choice(list(simulation.members.values())).lag_ms = rng.choice(
         (5, 20, 200, 2000)
     )
 
 
 @_action
-def _list(world: worlds.Simulation, rng: random.Random) -> None:
-    world.tell_list(rng.choice(worlds.PROXIES))
+def _list(simulation: simulations.Simulation, rng: random.Random) -> None:
+    simulation.send_list(rng.choice(simulations.PROXIES))
 
 
 @_action
-def _restart(world: worlds.Simulation, rng: random.Random) -> None:
-    """Have a member's process end and start again; callers are told."""
-    member = rng.choice(list(world.members.values()))
-    if any(other.dark for other in world.members.values()):
+def _restart(simulation: simulations.Simulation, rng: random.Random) -> None:
+    """Restart the process of a member; its connections are reset."""
+    member = rng.choice(list(simulation.members.values()))
+    if any(other.is_down for other in simulation.members.values()):
         return
-    _restart_member(world, member)
+    _restart_member(simulation, member)
 
 
 def _restart_member(
-    world: worlds.Simulation, member: fake_group.Member
+    simulation: simulations.Simulation, member: fake_group.Member
 ) -> None:
-    _go_dark(world, member)
-    for wire in list(world.wires.values()):
+    _stop_member(simulation, member)
+    for wire in list(simulation.wires.values()):
         if wire.upstream == member.name:
-            world.reset(wire)
-    world.at(RESTART_MS, _return, world, member)
+            simulation.reset(wire)
+    simulation.at(RESTART_MS, _start_member, simulation, member)
 
 
 @_action
-def _begin_again(world: worlds.Simulation, rng: random.Random) -> None:
-    """Have a member's process end and begin again, empty, under its name."""
-    member = rng.choice(list(world.members.values()))
-    if any(other.dark for other in world.members.values()):
+def _begin_again(
+    simulation: simulations.Simulation, rng: random.Random
+) -> None:
+    """Recreate a member: same name, empty log."""
+    member = rng.choice(list(simulation.members.values()))
+    if any(other.is_down for other in simulation.members.values()):
         return
-    if not _is_spare(world, member):
+    if not _has_copy(simulation, member):
         return
-    _restart_member(world, member)
+    _restart_member(simulation, member)
     member.log.clear()
     member.applied = 0
     member.term = 0
     member.role = statements.Role.REPLICA
-    member.born_ms = int(world.now_ms)
-    world.note(f'{member.name} begins again, empty')
-    world.relist(member)
+    member.born_ms = int(simulation.now_ms)
+    simulation.note(f'{member.name} is recreated, empty')
+    simulation.update_listing(member)
 
 
-def _is_spare(world: worlds.Simulation, member: fake_group.Member) -> bool:
-    """Say whether another member has all that this one may have confirmed.
+def _has_copy(
+    simulation: simulations.Simulation, member: fake_group.Member
+) -> bool:
+    """Return whether another member holds all it may have confirmed.
 
-    If none has, an acknowledged write is lost whatever anyone decides.
+    If none does, an acknowledged write is lost whatever the proxies decide.
     """
     held = member.received()
     return any(
         other is not member and other.received() >= held and other.listed
-        for other in world.members.values()
+        for other in simulation.members.values()
     )
 
 
 @_action
-def _release(world: worlds.Simulation, rng: random.Random) -> None:
-    """Replace a member: its successor comes first, then it leaves."""
-    if len(world.members) > len(worlds.UPSTREAMS):
-        # One at a time: the last one has not ended yet.
+def _release(simulation: simulations.Simulation, rng: random.Random) -> None:
+    """Replace a member: its successor starts before it leaves."""
+    if len(simulation.members) > len(simulations.UPSTREAMS):
+        # One at a time: the last replaced member has not ended yet.
         return
-    member = rng.choice(list(world.members.values()))
-    if member.dark or not member.listed:
+    member = rng.choice(list(simulation.members.values()))
+    if member.is_down or not member.listed:
         return
-    world.come(f'u{next(world.newcomers)}')
-    world.at(SUCCEEDS_MS, world.leaves, member)
-    world.at(SUCCEEDS_MS + DRAIN_MS, world.ends, member)
+    simulation.add_member(f'u{next(simulation.new_member_numbers)}')
+    simulation.at(SUCCESSOR_LEAD_MS, simulation.announce_leaving, member)
+    simulation.at(
+        SUCCESSOR_LEAD_MS + DRAIN_MS, simulation.remove_member, member
+    )
 
 
 @_action
-def _replace_in_turn(world: worlds.Simulation, rng: random.Random) -> None:
-    """Replace several members; each leaves before the last one's end."""
-    if world.now_ms < world.replaced_until_ms:
+def _replace_in_turn(
+    simulation: simulations.Simulation, rng: random.Random
+) -> None:
+    """Replace several members; each leaves before the last one ended."""
+    if simulation.now_ms < simulation.replaced_until_ms:
         return
     staying = [
         member
-        for member in world.members.values()
-        if member.listed and not member.leaving and not member.dark
+        for member in simulation.members.values()
+        if member.listed and not member.leaving and not member.is_down
     ]
     if not staying:
         return
@@ -341,31 +367,42 @@
         staying.sort(key=lambda m: m.role is not statements.Role.PRIMARY)
     for turn, member in enumerate(staying[:count]):
         begins_ms = turn * gap_ms
-        leaves_ms = begins_ms + rng.choice((SUCCEEDS_MS, 1000))
-        world.at(begins_ms, _come, world)
-        world.at(leaves_ms, _if_there, world, world.leaves, member)
+        leaves_ms = begins_ms + rng.choice((SUCCESSOR_LEAD_MS, 1000))
+        simulation.at(begins_ms, _add_member, simulation)
+        simulation.at(
+            leaves_ms,
+            _if_member,
+            simulation,
+            simulation.announce_leaving,
+            member,
+        )
         ends_ms = leaves_ms + DRAIN_MS
-        world.at(ends_ms, _if_there, world, world.ends, member)
+        simulation.at(
+            ends_ms, _if_member, simulation, simulation.remove_member, member
+        )
     in_all_ms = count * gap_ms + DRAIN_MS + 1500
-    world.replaced_until_ms = world.now_ms + in_all_ms
+    simulation.replaced_until_ms = simulation.now_ms + in_all_ms
 
 
-def _come(world: worlds.Simulation) -> None:
-    world.come(f'u{next(world.newcomers)}')
+def _add_member(simulation: simulations.Simulation) -> None:
+    simulation.add_member(f'u{next(simulation.new_member_numbers)}')
 
 
-def _if_there(
-    world: worlds.Simulation, step, member: fake_group.Member
+def _if_member(
+    simulation: simulations.Simulation, step, member: fake_group.Member
 ) -> None:
-    if world.members.get(member.name) is member:
+    if simulation.members.get(member.name) is member:
         step(member)
 
 
 @_action
-def _lapse(world: worlds.Simulation, rng: random.Random) -> None:
-    """Have the entry of a dark upstream lapse."""
-    for member in world.members.values():
-        if member.dark and world.now_ms - member.dark_since_ms > LAPSE_MS:
+def _lapse(simulation: simulations.Simulation, rng: random.Random) -> None:
+    """Expire the entries of upstreams that are down."""
+    for member in simulation.members.values():
+        if (
+            member.is_down
+            and simulation.now_ms - member.down_since_ms > EXPIRY_MS
+        ):
             member.listed = False
-    for proxy in worlds.PROXIES:
-        world.tell_list(proxy)
+    for proxy in simulations.PROXIES:
+        simulation.send_list(proxy)
