--- a/topazring/core/synchronous/group.py
+++ b/topazring/core/synchronous/group.py
@@ -182,7 +182,9 @@
         state, now_ms, connection, message.replies
     )
     reply = message.replies[-1]
-    outs += member_replies.control_replied(state, now_ms, connection, reply)
+    outs += member_replies.handle_control_reply(
+        state, now_ms, connection, reply
+    )
     if connection.upstream not in state.upstreams:
         return outs + connections.close_connection(state, connection)
     connections.mark_idle(connection, now_ms)
--- a/topazring/core/synchronous/member_replies.py
+++ b/topazring/core/synchronous/member_replies.py
@@ -9,10 +9,10 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous import statements
 
-__all__ = ['control_replied']
+__all__ = ['handle_control_reply']
 
 
-def control_replied(
+def handle_control_reply(
     state: states.GroupState,
     now_ms: int,
     connection: states.Connection,
