--- a/topazring/core/synchronous/forwarding.py
+++ b/topazring/core/synchronous/forwarding.py
@@ -85,7 +85,7 @@
     """Hold how busy an owner is with one service, as far as is known."""
 
     # Requests of ours that it has not answered.
-    under_way: int = 0
+    in_flight: int = 0
     # Requests that waited there when it last told.
     waiting: int = 0
     reported_ms: int = 0
@@ -93,7 +93,7 @@
     def expected_ahead(self, now_ms: int) -> float:
         """Return how many requests are ahead of a new one."""
         age_ms = now_ms - self.reported_ms
-        return self.under_way + self.waiting * 0.5 ** (
+        return self.in_flight + self.waiting * 0.5 ** (
             age_ms / LOAD_HALF_LIFE_MS
         )
 
--- a/topazring/core/synchronous/tests/simulated_callers.py
+++ b/topazring/core/synchronous/tests/simulated_callers.py
@@ -120,7 +120,7 @@
             plan.tried.append(place)
             self.owner = place
         load = crowd.loads[self.entry][place]
-        load.under_way += 1
+        load.in_flight += 1
         near = crowd.centre_of[place] == self.centre
         hop_ms = (
             LOCAL_DELAY_MS if near else simulated_upstreams.REMOTE_DELAY_MS
@@ -138,7 +138,7 @@
         crowd.post(place, messages.Submit(request))
 
     def _told(self, request, plan, load, told, outcome) -> None:
-        load.under_way -= 1
+        load.in_flight -= 1
         load.waiting = told
         load.reported_ms = int(self.crowd.now_ms)
         plan.last = outcome
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -63,11 +63,11 @@
 
         `load` is brought up to date with what the owner tells of its line.
         """
-        load.under_way += 1
+        load.in_flight += 1
         try:
             return await self._ask(request, deadline_ms, load)
         finally:
-            load.under_way -= 1
+            load.in_flight -= 1
 
     async def _ask(
         self,
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -183,7 +183,7 @@
             load = forwarding.Load()
             deadline_ms = clock.suspended_ms() + 500
             await self.link.ask(request(), deadline_ms, load)
-            self.assertEqual((5, 0), (load.waiting, load.under_way))
+            self.assertEqual((5, 0), (load.waiting, load.in_flight))
 
         self.play(steps)
 
