--- a/topazring/core/observations.py
+++ b/topazring/core/observations.py
@@ -96,7 +96,7 @@
         key,
         status.place,
         message.sent_ms,
-        needs_place=False,
+        needs_position=False,
     )
 
 
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -1,4 +1,4 @@
-"""Event loop step of an owner of one database."""
+"""Step function of an owner: handles messages on one database."""
 
 import collections.abc
 
--- a/topazring/core/placement.py
+++ b/topazring/core/placement.py
@@ -69,9 +69,9 @@
     """Replace the candidates; return the databases whose owners changed."""
     current = {candidate.name: candidate for candidate in candidates}
     removed = [
-        known
-        for name, known in placement.candidates.items()
-        if current.get(name) != known
+        previous
+        for name, previous in placement.candidates.items()
+        if current.get(name) != previous
     ]
     added = [
         candidate
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -64,13 +64,13 @@
 def add_waiter(
     rounds: Rounds,
     key: int,
-    place: log_positions.LogPosition,
+    log_position: log_positions.LogPosition,
     sent_ms: int,
-    needs_place: bool = True,
+    needs_position: bool = True,
 ) -> None:
     """Add a waiter; only rounds that begin from now on can confirm it."""
     rounds.waiters[key] = Waiter(
-        key, place, sent_ms, rounds.next_round, needs_place
+        key, log_position, sent_ms, rounds.next_round, needs_position
     )
 
 
@@ -105,11 +105,11 @@
         if not waiting:
             continue
         needed = [w.place for w in waiting if w.needs_position]
-        place = max(needed, default=log_positions.ORIGIN)
+        log_position = max(needed, default=log_positions.ORIGIN)
         rounds.in_flight.setdefault(name, {})[round_id] = now_ms
         requests.append(
             messages.RequestStatus(
-                name, round_id, rounds.term, place, STATUS_WAIT_MS
+                name, round_id, rounds.term, log_position, STATUS_WAIT_MS
             )
         )
     if requests:
@@ -163,6 +163,10 @@
 
 
 def _holds(
-    rounds: Rounds, status: messages.Status, place: log_positions.LogPosition
+    rounds: Rounds,
+    status: messages.Status,
+    log_position: log_positions.LogPosition,
 ) -> bool:
-    return status.place.log_term == rounds.term and status.place >= place
+    return (
+        status.place.log_term == rounds.term and status.place >= log_position
+    )
--- a/topazring/core/routing.py
+++ b/topazring/core/routing.py
@@ -33,10 +33,10 @@
     staleness_ms = request.profile.max_staleness_ms
     if staleness_ms <= 0:
         return None
-    place = views.staleness_position(view, now_ms, staleness_ms)
-    if place is None:
+    log_position = views.staleness_position(view, now_ms, staleness_ms)
+    if log_position is None:
         return None
-    return max(place, request.token_place)
+    return max(log_position, request.token_place)
 
 
 def choose_replica(
@@ -51,8 +51,8 @@
     Replicas that have reached the position already are preferred, the least
     busy first; then the one predicted to reach it within the profile's wait.
     """
-    place = required_position(view, now_ms, request)
-    if place is None:
+    log_position = required_position(view, now_ms, request)
+    if log_position is None:
         return None
     ready = []
     catching_up = []
@@ -61,17 +61,17 @@
             continue
         if free_slots.get(name, 0) <= 0:
             continue
-        if seen.place >= place:
+        if seen.place >= log_position:
             ready.append((-free_slots[name], name))
             continue
-        wait_ms = _predict_wait_ms(view, now_ms, seen, place)
+        wait_ms = _predict_wait_ms(view, now_ms, seen, log_position)
         if wait_ms <= request.profile.replica_wait_ms:
             catching_up.append((wait_ms, name))
     if ready:
-        return Route(_choose_least_busy(ready, request.key), place, 0)
+        return Route(_choose_least_busy(ready, request.key), log_position, 0)
     if catching_up:
         wait_ms = request.profile.replica_wait_ms
-        return Route(min(catching_up)[1], place, wait_ms)
+        return Route(min(catching_up)[1], log_position, wait_ms)
     return None
 
 
@@ -96,11 +96,11 @@
     view: views.GroupView,
     now_ms: int,
     seen: views.UpstreamView,
-    place: log_positions.LogPosition,
+    log_position: log_positions.LogPosition,
 ) -> float:
-    """Predict the time until the replica reaches `place` from its mean lag."""
+    """Predict the replica's time to reach a position from its mean lag."""
     for sample in view.samples:
-        if sample.place >= place:
+        if sample.place >= log_position:
             return max(0.0, sample.sent_ms + seen.lag_ms - now_ms)
     return seen.lag_ms
 
@@ -117,9 +117,9 @@
     Understandable Consensus Algorithm", 2014). Neither is a result of an
     upstream that has become primary, which may be the only holder.
     """
-    place = result.place
-    is_same_log = place.log_term == view.committed.log_term
-    if is_same_log and place <= view.committed:
+    log_position = result.place
+    is_same_log = log_position.log_term == view.committed.log_term
+    if is_same_log and log_position <= view.committed:
         return True
-    is_own_term = place.log_term == result.accepted_term
+    is_own_term = log_position.log_term == result.accepted_term
     return views.majority(view) <= 2 and is_own_term and not result.leads
--- a/topazring/core/tests/oracle.py
+++ b/topazring/core/tests/oracle.py
@@ -74,8 +74,8 @@
             and at_ms <= oldest_ms
         }
         seen = frozenset(must_see | session_state.seen)
-        asked = Submission(name, request, session, now_ms, seen)
-        self.submissions[(name, request.key)] = asked
+        submission = Submission(name, request, session, now_ms, seen)
+        self.submissions[(name, request.key)] = submission
 
     def forget(self, name: str) -> None:
         """Drop the unanswered requests of an owner whose process ended."""
@@ -115,43 +115,43 @@
 
     def answered(self, now_ms: int, name: str, out: messages.Answer) -> None:
         """Check an answer, which has to be the only one."""
-        asked = self.submissions.get((name, out.key))
-        if asked is None or asked.answered:
+        submission = self.submissions.get((name, out.key))
+        if submission is None or submission.answered:
             raise Violation(
                 f'{out.key} is answered twice or was not submitted'
             )
-        asked.answered = True
+        submission.answered = True
         match out.outcome:
             case outcomes.Done():
                 self.counts['done'] += 1
-                if asked.request.kind is Kind.BEGIN:
-                    self.sessions[asked.session].bound = (name, out.key)
-                self._check_done(now_ms, asked, out.outcome)
+                if submission.request.kind is Kind.BEGIN:
+                    self.sessions[submission.session].bound = (name, out.key)
+                self._check_done(now_ms, submission, out.outcome)
             case outcomes.NotRun():
                 self.counts['not_run'] += 1
-                if asked.request.request_id:
-                    self._record_not_run(asked, out.outcome.reason)
+                if submission.request.request_id:
+                    self._record_not_run(submission, out.outcome.reason)
             case outcomes.Unknown():
                 self.counts['unknown'] += 1
         self.check_promises()
 
-    def _record_not_run(self, asked: Submission, reason: Reason) -> None:
+    def _record_not_run(self, submission: Submission, reason: Reason) -> None:
         """Record a request that was reported as not run.
 
         A cancelled id never runs. Any other refusal concerns one copy, and
         the request as a whole only while no other copy was sent.
         """
-        key = (asked.request.organisation, asked.request.request_id)
+        key = (submission.request.organisation, submission.request.request_id)
         if reason is Reason.CANCELLED or self.copies[key] == 1:
             self.reported_not_run[key] = reason
-        elif asked.request.repeat:
+        elif submission.request.repeat:
             raise Violation(f'a repeat of {key} was refused as not run')
 
     def _check_done(
-        self, now_ms: int, asked: Submission, done: outcomes.Done
+        self, now_ms: int, submission: Submission, done: outcomes.Done
     ) -> None:
-        session = self.sessions[asked.session]
-        request = asked.request
+        session = self.sessions[submission.session]
+        request = submission.request
         if request.kind in (Kind.BEGIN, Kind.EXECUTE, Kind.ROLLBACK):
             return
         session.place = max(session.place, done.place)
@@ -162,7 +162,7 @@
             session.seen.add(request.request_id)
             return
         seen = {row[0] for row in done.rows}
-        missing = asked.must_see - seen
+        missing = submission.must_see - seen
         if missing:
             raise Violation(
                 f'{request.profile.name} read at {done.served_by} misses '
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -87,8 +87,8 @@
         for key in range(20):
             rounds.add_waiter(self.state, key, LogPosition(2, key + 1), 0)
             self.start_round()
-        for asked in self.state.in_flight.values():
-            self.assertEqual(rounds.MAX_ROUNDS_IN_FLIGHT, len(asked))
+        for in_flight in self.state.in_flight.values():
+            self.assertEqual(rounds.MAX_ROUNDS_IN_FLIGHT, len(in_flight))
 
     def test_partial_reply_confirms_the_earlier_place(self):
         rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
@@ -122,9 +122,9 @@
         rounds.add_waiter(state.round_state, 1, LogPosition(0, 5), 0)
         first = owner.step(state, 0, messages.Tick())
         again = owner.step(state, 30, messages.LinkOpened('u2'))
-        asked = [
+        requested = [
             [m.upstream for m in outs if isinstance(m, messages.RequestStatus)]
             for outs in (first, again)
         ]
-        self.assertIn('u2', asked[0])
-        self.assertEqual(['u2'], asked[1])
+        self.assertIn('u2', requested[0])
+        self.assertEqual(['u2'], requested[1])
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -81,11 +81,11 @@
         self.suspect()
         self.outs.clear()
         self.advance(300)
-        asked = [
+        requests = [
             o for o in self.sent(messages.RequestStatus) if not o.round_id
         ]
         for name in UPSTREAMS:
-            times = sum(1 for ask in asked if ask.upstream == name)
+            times = sum(1 for request in requests if request.upstream == name)
             self.assertGreaterEqual(times, 3, name)
 
     def test_peer_with_a_newer_term_is_waited_for(self):
@@ -113,8 +113,8 @@
         self.step(messages.PeerSuspicion('p2', 0, True))
         self.advance(TICK_MS)
         self.assertNotEqual([], self.sent(messages.Fence))
-        told = self.sent(messages.SendSuspicion)
-        self.assertIn(messages.SendSuspicion(4, True), told)
+        sent = self.sent(messages.SendSuspicion)
+        self.assertIn(messages.SendSuspicion(4, True), sent)
 
 
 class TestSilenceOfATerm(testtools.TestCase):
