--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -153,12 +153,12 @@
     witness_asked_ms: int = NEVER_MS
     # When the list last named it as the primary; NEVER_MS once refuted.
     claimed_ms: int = NEVER_MS
-    # Its claim to lead cannot be ranked before its term is known, and when
-    # the term was last queried for this.
+    # Whether its claim to lead waits for its term, and when the term was last
+    # queried for this.
     has_pending_claim: bool = False
     claim_checked_ms: int = NEVER_MS
-    # It was replaced and still acts as the primary; when a demotion was last
-    # sent.
+    # Whether it was replaced but has not been sent a demotion for it, and when
+    # a demotion was last sent.
     needs_demotion: bool = False
     demotion_sent_ms: int = NEVER_MS
     last_received_ms: int = 0
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -9,7 +9,7 @@
 from topazring.core.synchronous.tests import support
 
 Place = support.Place
-NOBODY: frozenset[str] = frozenset()
+NO_PRIMARIES: frozenset[str] = frozenset()
 
 
 class DeparturesTest(testtools.TestCase):
@@ -21,7 +21,7 @@
         departed.add(1000, 'u3')
         departed.record_primary_place(999, Place(1, 7))
         high = Place(9, 9)
-        self.assertEqual(['u3'], departed.may_exceed(1000, high, NOBODY))
+        self.assertEqual(['u3'], departed.may_exceed(1000, high, NO_PRIMARIES))
 
     def test_bounded_by_first_position_after_departure(self):
         """The departed member cannot hold writes made after it left."""
@@ -30,8 +30,10 @@
         departed.record_primary_place(1001, Place(1, 7))
         departed.record_primary_place(1100, Place(1, 9))
         below, enough = Place(1, 6), Place(1, 7)
-        self.assertEqual(['u3'], departed.may_exceed(1200, below, NOBODY))
-        self.assertEqual([], departed.may_exceed(1200, enough, NOBODY))
+        self.assertEqual(
+            ['u3'], departed.may_exceed(1200, below, NO_PRIMARIES)
+        )
+        self.assertEqual([], departed.may_exceed(1200, enough, NO_PRIMARIES))
 
     def test_returned_member_does_not_block(self):
         """A member that is listed again can be queried itself."""
@@ -39,7 +41,7 @@
         departed.add(1000, 'u3')
         departed.remove('u3')
         low = Place(0, 0)
-        self.assertEqual([], departed.may_exceed(1000, low, NOBODY))
+        self.assertEqual([], departed.may_exceed(1000, low, NO_PRIMARIES))
 
     def test_permanently_gone_member_expires(self):
         """A group must not stay without a primary because of it."""
@@ -47,7 +49,7 @@
         departed.add(1000, 'u3')
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS
         low = Place(0, 0)
-        self.assertEqual([], departed.may_exceed(later_ms, low, NOBODY))
+        self.assertEqual([], departed.may_exceed(later_ms, low, NO_PRIMARIES))
 
     def test_bound_outlives_replication_stall(self):
         """A replica may need seconds to receive what a departed one held.
@@ -62,7 +64,9 @@
         departed.record_primary_place(1001, Place(1, 7))
         below = Place(1, 6)
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS + 2000
-        self.assertEqual(['u3'], departed.may_exceed(later_ms, below, NOBODY))
+        self.assertEqual(
+            ['u3'], departed.may_exceed(later_ms, below, NO_PRIMARIES)
+        )
 
     def test_no_wait_after_primary_left_as_well(self):
         """No member that may return can report what the replica held.
@@ -83,7 +87,7 @@
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True, paused_at=Place(1, 5))
         enough = Place(1, 5)
-        self.assertEqual([], departed.may_exceed(1100, enough, NOBODY))
+        self.assertEqual([], departed.may_exceed(1100, enough, NO_PRIMARIES))
 
 
 class NewProcessTest(testtools.TestCase):
@@ -94,8 +98,10 @@
         departed = departed_members.DepartedMembers()
         departed.record_first_place(1000, Place(1, 7))
         low = Place(1, 6)
-        self.assertTrue(departed.may_exceed(1100, low, NOBODY))
-        self.assertEqual([], departed.may_exceed(1100, Place(1, 7), NOBODY))
+        self.assertTrue(departed.may_exceed(1100, low, NO_PRIMARIES))
+        self.assertEqual(
+            [], departed.may_exceed(1100, Place(1, 7), NO_PRIMARIES)
+        )
 
     def test_first_position_bound_expires(self):
         """It covers unconfirmed writes that no replica will ever receive.
@@ -118,7 +124,7 @@
         self.assertLess(floor, Place(1, 9))
         later_ms = driver.now_ms + departed_members.UNBOUNDED_WAIT_MS
         waited_for = driver.state.departed_members.may_exceed(
-            later_ms, Place(1, 5), NOBODY
+            later_ms, Place(1, 5), NO_PRIMARIES
         )
         self.assertEqual([], waited_for)
 
