--- a/topazring/pooler/__init__.py
+++ b/topazring/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers' sessions over connections that they share."""
+"""Serve callers' sessions over shared connections to upstreams."""
--- a/topazring/pooler/caller_server.py
+++ b/topazring/pooler/caller_server.py
@@ -1,4 +1,4 @@
-"""Take in callers' connections, as many as there are descriptors for."""
+"""Accept callers' connections, limited by the number of descriptors."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 
 __all__ = ['Server']
 
-# Another proxy is likely to have room at once.
+# Another proxy is likely to have a free descriptor at once.
 REFUSED_RETRY_MS = 200
-# A caller's first message comes with its connection.
+# A caller sends its first message with its connection.
 REFUSAL_TIMEOUT_S = 0.5
 MAX_FIRST_READ_BYTES = 4096
 BACKLOG = 512
-# Descriptors kept for files, upstreams, the store and the balancer's
-# questions. Without a limit callers that connect and say nothing take them
-# all, and nothing works any more.
+# Descriptors reserved for files, upstreams, the store and the load balancer's
+# probes. Without a limit, callers that connect and send nothing would use all
+# descriptors, and nothing would work any more.
 SPARE_DESCRIPTORS = 400
 
 
@@ -29,11 +29,11 @@
     def __init__(self, host: caller_task.Host, max_descriptors: int):
         super().__init__()
         self.host = host
-        self.most_callers = max_descriptors - SPARE_DESCRIPTORS
+        self.max_callers = max_descriptors - SPARE_DESCRIPTORS
         self.callers: set[caller_task.CallerTask] = set()
 
     def start_at(self, address: str) -> None:
-        """Listen."""
+        """Listen on an address."""
         target = settings.endpoint(address)
         self.listen(target.port, target.host, backlog=BACKLOG)
 
@@ -41,8 +41,8 @@
         self, stream: iostream.IOStream, address: tuple
     ) -> None:
         """Serve one caller until its session ends."""
-        if len(self.callers) >= self.most_callers:
-            await self._turn_away(stream)
+        if len(self.callers) >= self.max_callers:
+            await self._refuse(stream)
             return
         caller = caller_task.CallerTask(self.host, stream)
         self.callers.add(caller)
@@ -51,8 +51,8 @@
         finally:
             self.callers.discard(caller)
 
-    async def _turn_away(self, stream: iostream.IOStream) -> None:
-        """Refuse a caller for whom there is no descriptor to spare."""
+    async def _refuse(self, stream: iostream.IOStream) -> None:
+        """Refuse a caller because no descriptor is left for it."""
         refusal = outcomes.NotRun(
             outcomes.Reason.CONNECTION_LIMIT, REFUSED_RETRY_MS
         )
@@ -63,13 +63,13 @@
             inputs={'sessions': len(self.callers)},
         )
         try:
-            # What is not read before the end resets the connection, and the
-            # answer is lost with it.
+            # Unread bytes would reset the connection when it is closed, and
+            # the answer would be lost.
             async with asyncio.timeout(REFUSAL_TIMEOUT_S):
                 await stream.read_bytes(MAX_FIRST_READ_BYTES, partial=True)
             await stream.write(self.host.codec.refusal(refusal))
         except (iostream.StreamClosedError, TimeoutError):
-            # It left, or said nothing; there is nobody to tell.
+            # The caller disconnected or sent nothing.
             return
         finally:
             stream.close()
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -1,4 +1,4 @@
-"""Own one caller's connection and its session."""
+"""Serve one caller's connection and its session."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 Reason = outcomes.Reason
 
 READ_BYTES = 65536
-# What begins an operation at an upstream.
+# Verbs that begin an operation at an upstream.
 _OPERATIONS = frozenset(
     {
         statements.Verb.BEGIN,
@@ -32,32 +32,33 @@
         statements.Verb.EXECUTE,
     }
 )
-# An operation may be several statements outside a transaction, each sent on
-# the answer to the last. A session that has been still for less may be in
-# the middle of one, or its next request is on the way already.
+# An operation may consist of several statements outside a transaction, each
+# sent after the answer to the last. A session that has been idle for less may
+# be in the middle of one, or its next request may be on its way.
 IDLE_MS = 250
 LATE_IDLE_MS = 60
-# A message that is too long is thrown away for so long, then cut.
+# How long the rest of a message that is too long is read and discarded before
+# the connection is closed.
 DISCARD_TIMEOUT_S = 0.5
-# A caller starts its session with its first message. One that says nothing
-# for so long only takes up a descriptor.
+# A caller starts its session with its first message. A connection without one
+# for this long only occupies a descriptor.
 START_TIMEOUT_S = 10.0
 
 
 class ShutdownPhase(enum.IntEnum):
-    """Say how far this process is on its way to its end."""
+    """Phases of a process's shutdown, in order."""
 
     RUNNING = 0
-    # Sessions end as soon as they are between operations.
+    # Sessions are closed between operations.
     CLOSE_IDLE = 1
-    # Open transactions end too.
+    # Sessions with open transactions are closed too.
     CLOSE_TRANSACTIONS = 2
-    # Nothing new is begun any more.
+    # New operations are refused.
     REFUSE_NEW = 3
 
 
 class Host(typing.Protocol):
-    """Say what a session needs of its process."""
+    """Interface of the process to its sessions."""
 
     codec: ports.CallerCodec
     log: events.EventLog
@@ -67,25 +68,25 @@
         """Return the policy in force for a database."""
 
     async def run(self, request: messages.Request) -> outcomes.Outcome:
-        """Return the request's one final answer."""
+        """Return the final outcome of a request."""
 
     def withdraw(self, service: str, transaction: int) -> None:
-        """Undo a transaction whose caller is gone, or rolled it back."""
+        """Abort a transaction that its caller rolled back or abandoned."""
 
     def next_key(self) -> int:
-        """Return a number that this process has not used."""
+        """Return a number that is unique in this process."""
 
     def message_bytes(self) -> int:
-        """Return how long a caller's message may be."""
+        """Return the maximum length of a caller's message."""
 
     def note(self, kind: str, outcome: outcomes.Outcome, ms: int) -> None:
-        """Count an answer and how long it took."""
+        """Record an outcome and its latency."""
 
     def configured(self) -> bool:
-        """Say whether any configuration is known."""
+        """Return whether any configuration has been read."""
 
     async def wait_configured(self) -> bool:
-        """Wait a moment for the first configuration."""
+        """Wait briefly for the first configuration."""
 
 
 class CallerTask:
@@ -98,61 +99,61 @@
         self.pending: collections.deque[ports.CallerItem] = collections.deque()
         self.session: sessions.Session | None = None
         self.busy = False
-        self.still_since_ms = clock.suspended_ms()
+        self.idle_since_ms = clock.suspended_ms()
         dialling.keep_alive(stream.socket)
 
     async def serve(self) -> None:
         """Serve until the caller or this process ends the session."""
         loop = asyncio.get_running_loop()
-        unstarted = loop.call_later(START_TIMEOUT_S, self._end_unstarted)
+        start_timer = loop.call_later(START_TIMEOUT_S, self._close_unstarted)
         try:
             while not self.stream.closed():
-                item = await self._next()
+                item = await self._next_item()
                 self.busy = True
-                if not await self._take(item):
+                if not await self._handle_item(item):
                     break
                 self.busy = False
-                self.still_since_ms = clock.suspended_ms()
+                self.idle_since_ms = clock.suspended_ms()
         except iostream.StreamClosedError:
-            # The caller left; what it had open is undone below.
+            # The caller disconnected; its open transaction is aborted below.
             pass
         finally:
-            unstarted.cancel()
+            start_timer.cancel()
             self.busy = False
-            self._undo()
+            self._abort_transaction()
             self.stream.close()
 
-    async def _next(self) -> ports.CallerItem:
+    async def _next_item(self) -> ports.CallerItem:
         while not self.pending:
             data = await self.stream.read_bytes(READ_BYTES, partial=True)
             self.pending.extend(self.reader.feed(data))
         return self.pending.popleft()
 
-    def _may_end(self) -> bool:
-        """Say whether the session may be closed without cutting anything."""
+    def _may_close(self) -> bool:
+        """Return whether the session can be closed without interruption."""
         if self.busy or self.pending:
             return False
-        still_ms = clock.suspended_ms() - self.still_since_ms
+        idle_ms = clock.suspended_ms() - self.idle_since_ms
         match self.host.shutdown_phase:
             case ShutdownPhase.RUNNING:
                 return False
             case ShutdownPhase.CLOSE_IDLE:
-                open_one = self.session and self.session.transaction
-                return still_ms >= IDLE_MS and not open_one
+                in_transaction = self.session and self.session.transaction
+                return idle_ms >= IDLE_MS and not in_transaction
             case ShutdownPhase.CLOSE_TRANSACTIONS | ShutdownPhase.REFUSE_NEW:
-                return still_ms >= LATE_IDLE_MS
+                return idle_ms >= LATE_IDLE_MS
 
-    def _end_unstarted(self) -> None:
-        """Close a connection on which no session was started."""
+    def _close_unstarted(self) -> None:
+        """Close the connection if no session was started on it."""
         if self.session is None:
             self.stream.close()
 
     def close_if_idle(self) -> None:
-        """Close the session if nothing is under way on it."""
-        if self._may_end():
+        """Close the session if it is idle."""
+        if self._may_close():
             self.stream.close()
 
-    def _undo(self) -> None:
+    def _abort_transaction(self) -> None:
         session = self.session
         if session is None or session.transaction is None:
             return
@@ -163,19 +164,19 @@
         if transaction:
             self.host.withdraw(policy.service, transaction)
 
-    async def _take(self, item: ports.CallerItem) -> bool:
-        """Serve one message; False ends the session."""
+    async def _handle_item(self, item: ports.CallerItem) -> bool:
+        """Handle one message; return False if the session has ended."""
         match item:
             case ports.Quit():
                 return False
             case ports.Fault():
-                return await self._fault(item)
+                return await self._handle_fault(item)
             case ports.StartSession():
-                return await self._start(item)
+                return await self._start_session(item)
             case statements.Statement():
-                return await self._statement(item)
+                return await self._handle_statement(item)
 
-    async def _fault(self, fault: ports.Fault) -> bool:
+    async def _handle_fault(self, fault: ports.Fault) -> bool:
         rejected = outcomes.Rejected(fault.reason, fault.detail)
         self.host.note('fault', rejected, 0)
         self.host.log.emit(
@@ -191,14 +192,14 @@
             await self.stream.write(self.host.codec.refusal(rejected))
             await self._discard()
             return False
-        await self._answer(rejected)
+        await self._send_answer(rejected)
         return True
 
     async def _discard(self) -> None:
-        """Read on for a moment, so that the caller gets to read its answer.
+        """Read on for a moment, so that the caller can read its answer.
 
-        A connection that is closed with unread bytes is reset, and the
-        answer that is on its way is lost with it.
+        A connection that is closed with unread bytes is reset, and an answer
+        that is still on its way is lost.
         """
         try:
             async with asyncio.timeout(DISCARD_TIMEOUT_S):
@@ -207,7 +208,7 @@
         except TimeoutError:
             return
 
-    async def _start(self, start: ports.StartSession) -> bool:
+    async def _start_session(self, start: ports.StartSession) -> bool:
         if not self.host.configured():
             await self.host.wait_configured()
         refusal = self._start_refusal(start)
@@ -240,7 +241,7 @@
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, detail)
         return None
 
-    async def _statement(self, statement: statements.Statement) -> bool:
+    async def _handle_statement(self, statement: statements.Statement) -> bool:
         session = self.session
         if session is None:
             rejected = outcomes.Rejected(
@@ -248,47 +249,47 @@
             )
             await self.stream.write(self.host.codec.refusal(rejected))
             return False
-        if self._comes_too_late(session, statement):
+        if self._must_refuse(session, statement):
             refusal = outcomes.NotRun(
                 Reason.DRAINING, primary_availability.OTHER_PROXY_RETRY_MS
             )
             self.host.note(str(statement.verb), refusal, 0)
-            await self._answer(refusal)
+            await self._send_answer(refusal)
             return True
         began_ms = clock.suspended_ms()
-        open_before = session.transaction
-        taken = sessions.handle_statement(
+        transaction_before = session.transaction
+        result = sessions.handle_statement(
             session,
             began_ms,
             self.host.next_key(),
             statement,
             self.host.policy(session.database),
         )
-        if isinstance(taken, sessions.LocalAnswer):
-            if open_before is not None:
-                self._withdraw(open_before.policy, taken.ends)
-            outcome = taken.outcome
+        if isinstance(result, sessions.LocalAnswer):
+            if transaction_before is not None:
+                self._withdraw(transaction_before.policy, result.ends)
+            outcome = result.outcome
         else:
-            outcome = await self.host.run(taken)
-            sessions.record_outcome(session, taken, outcome)
+            outcome = await self.host.run(result)
+            sessions.record_outcome(session, result, outcome)
         took_ms = clock.suspended_ms() - began_ms
         self.host.note(str(statement.verb), outcome, took_ms)
-        await self._answer(outcome)
+        await self._send_answer(outcome)
         return True
 
-    def _comes_too_late(
+    def _must_refuse(
         self, session: sessions.Session, statement: statements.Statement
     ) -> bool:
-        """Say whether a new operation comes just before this process ends.
+        """Return whether to refuse an operation shortly before the exit.
 
-        A session that never rests is not closed between operations. Its last
-        one would be cut when the process ends, and whether it ran be unknown;
-        refused, it runs at another proxy.
+        A session that is never idle is not closed between operations. Its
+        last one would be interrupted by the exit with an unknown outcome; if
+        it is refused, it runs at another proxy.
         """
         if self.host.shutdown_phase is not ShutdownPhase.REFUSE_NEW:
             return False
         return session.transaction is None and statement.verb in _OPERATIONS
 
-    async def _answer(self, outcome: outcomes.Outcome) -> None:
+    async def _send_answer(self, outcome: outcomes.Outcome) -> None:
         state = self.session.state
         await self.stream.write(self.host.codec.answer(outcome, state))
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -1,4 +1,4 @@
-"""Follow the platform's store: configuration, upstreams, proxies, duty."""
+"""Follow the platform's store: configuration, upstreams, proxies, lease."""
 
 import asyncio
 import collections.abc
@@ -19,82 +19,83 @@
 
 OWN_PREFIX = 'topazring/'
 PROXY_PREFIX = 'topazring/proxies/'
-# One watch for everything: each that waits is a call that is paid for.
+# One watch covers all keys: each waiting watch is a call that is paid for.
 ALL_KEYS_PREFIX = ''
-# While a fleet starts, its proxies and their upstreams enter the list one
-# after the other; each entry alone would cost every proxy a call.
+# While a fleet starts, its proxies and their upstreams are listed one after
+# the other. Answers are batched then: each entry alone would cost every proxy
+# a call.
 STARTUP_S = 8.0
 STARTUP_BATCH_S = 0.4
 RETRY_S = 0.15
 MAX_RETRY_S = 1.2
 EXPIRY_INTERVAL_S = 0.25
-# Of what is wrong with an entry so many characters are told.
+# Error texts in log lines about a bad entry are cut to this length.
 MAX_ERROR_CHARS = 200
-# Of those that the store turns away, a third of a fleet at the worst, all
-# three are asked in one case of thirty.
+# At worst the store refuses a third of a fleet; in one case of thirty all
+# three peers asked are among those.
 PEERS_TO_ASK = 3
-# A promotion waits for what is listed by now: the service and peers answer in
-# milliseconds, and each has so long.
+# A promotion waits until the listing is current. The store and peers answer
+# in milliseconds; each gets this long.
 CATCH_UP_TIMEOUT_S = 0.1
 
 
 class ProxyValue(msgspec.Struct):
-    """Hold what a proxy says of itself in the store."""
+    """Value under which a proxy lists itself in the store."""
 
     data_centre: str
-    # Where other proxies ask it; empty if they cannot.
+    # Where other proxies ask it for changes; empty if they cannot.
     peer_address: str = ''
-    # Where other proxies send it requests; empty if it takes none.
+    # Where other proxies send it requests; empty if it accepts none.
     hop_address: str = ''
 
 
 class Directory:
-    """Keep a listing up to date and tell what it concerns."""
+    """Keep a listing up to date and report which services a change affects."""
 
     def __init__(
         self,
         adapter: ports.Adapter,
-        asker: peers.PeerClient,
-        hearer: follower_client.FollowerClient,
+        peer_client: peers.PeerClient,
+        follower: follower_client.FollowerClient,
         log: events.EventLog,
-        changed: collections.abc.Callable[[set[str]], None],
+        on_change: collections.abc.Callable[[set[str]], None],
     ):
         self.adapter = adapter
-        self.peer_client = asker
-        self.follower_client = hearer
+        self.peer_client = peer_client
+        self.follower_client = follower
         self.log = log
-        self.changed = changed
+        self.on_change = on_change
         self.listing = listings.Listing()
-        # Set when all that there is was read once.
+        # Set once the whole store has been read.
         self.first_read = asyncio.Event()
-        # Set with the first configuration.
+        # Set by the first configuration.
         self.configured = asyncio.Event()
         # The last change of each key, up to `known.seen`.
         self.known = revisions.Revisions()
         self.history_lost = False
-        # Set, and replaced, when something new is known.
-        self.news = asyncio.Event()
-        # When the listing was last known to be complete.
+        # Set, and replaced by a new event, with each change.
+        self.change_event = asyncio.Event()
+        # When the listing was last confirmed to be complete.
         self.confirmed_ms = -(10**9)
         self.unavailable_since_ms: int | None = None
         self.own_changed = asyncio.Event()
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following the store."""
         self.tasks = [
             asyncio.create_task(self._follow_forever()),
             asyncio.create_task(self._expire_forever()),
         ]
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop following the store."""
         for task in self.tasks:
             task.cancel()
         self.peer_client.close()
 
     def own_value(self, key: str) -> revisions.Change | None:
-        """Return one of the product's own values, None if it is not set."""
+        """Return one of the proxies' own values, None if it is not set."""
         change = self.known.changes.get(key)
         if change is None or change.value is None:
             return None
@@ -102,55 +103,56 @@
 
     @property
     def follows(self) -> bool:
-        """Say whether this proxy reads the service itself, and can."""
-        away = self.unavailable_since_ms is not None
+        """Return whether this proxy reads the store itself, successfully."""
+        is_unavailable = self.unavailable_since_ms is not None
         return (
             self.known.seen > 0
             and not self.follower_client.source
-            and not away
+            and not is_unavailable
         )
 
     async def changes_after(
         self, after: int, wait_ms: int = 0
     ) -> peers.PeerAnswer:
-        """Return what a peer lacks that knows all up to a revision.
+        """Return the changes after a revision, for a peer.
 
-        If that is nothing, wait for it, as long as this proxy follows.
+        If there are none, wait up to `wait_ms` for the next, unless this
+        proxy does not follow the store.
         """
         if wait_ms:
-            await self._wait_for_news(after, wait_ms)
+            await self._wait_for_change(after, wait_ms)
         seen = self.known.seen
         age_ms = max(0, clock.suspended_ms() - self.confirmed_ms)
         complete, changes = revisions.missing_changes(self.known, after)
         return peers.PeerAnswer(seen, complete, changes, self.follows, age_ms)
 
-    async def _wait_for_news(self, after: int, wait_ms: int) -> None:
+    async def _wait_for_change(self, after: int, wait_ms: int) -> None:
         if not self.follows or self.known.seen > after:
             return
         try:
             async with asyncio.timeout(wait_ms / 1000):
-                await self.news.wait()
+                await self.change_event.wait()
         except TimeoutError:
-            # That nothing is new is an answer as well.
+            # An answer without changes is valid too.
             return
 
-    def _tell_news(self) -> None:
-        self.news.set()
-        self.news = asyncio.Event()
+    def _notify_waiters(self) -> None:
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
-    # ---- asking ----
+    # ---- reading ----
 
     async def _follow_forever(self) -> None:
         failures = 0
-        began_ms = clock.suspended_ms()
+        started_ms = clock.suspended_ms()
         while True:
-            answer = await self._ask()
+            answer = await self._poll()
             if isinstance(
                 answer, key_value.Changes | follower_client.FollowerAnswer
             ):
                 failures = 0
-                self._back(answer)
-                if clock.suspended_ms() - began_ms < STARTUP_S * 1000:
+                self._record_available(answer)
+                if clock.suspended_ms() - started_ms < STARTUP_S * 1000:
                     await asyncio.sleep(STARTUP_BATCH_S)
                 continue
             if isinstance(answer, key_value.HistoryLost):
@@ -161,73 +163,73 @@
                 )
                 self.history_lost = True
                 continue
-            self._away(answer)
+            self._record_unavailable(answer)
             await self.ask_peers(peers.ASK_TIMEOUT_S, count=1)
             failures += 1
             await asyncio.sleep(self._pause_s(failures))
 
     def _pause_s(self, failures: int) -> float:
         if self.listing.configuration is None:
-            # Nothing can be served until it is known.
+            # Nothing can be served without a configuration.
             return RETRY_S
         pause_s = min(RETRY_S * 2 ** min(failures, 5), MAX_RETRY_S)
         return pause_s * random.uniform(0.5, 1.0)
 
-    async def _ask(self):
-        """Ask a follower or the service once; take in what is answered."""
+    async def _poll(self):
+        """Read changes once, from a follower or the store, and apply them."""
         if not self.known.seen:
             return await self._read_everything()
-        heard = await self.follower_client.poll(
+        update = await self.follower_client.poll(
             self.listing.proxies.values(), self.known.seen
         )
-        if heard is not None:
+        if update is not None:
             self.history_lost = False
-            self._take_told(heard.told)
-            return heard
+            self._apply_peer_answer(update.answer)
+            return update
         if self.history_lost:
             return await self._read_everything()
         return await self._read_changes(self._watch_ms())
 
     async def _read_changes(self, wait_ms: int):
-        """Read what is new, waiting for the first of it; take it in."""
+        """Read changes from the store, wait for the first, and apply them."""
         answer = await self.adapter.store.changes(
             ALL_KEYS_PREFIX, self.known.seen, wait_ms
         )
         if isinstance(answer, key_value.Changes):
-            self._take(answer.changes, answer.upto)
+            self._apply(answer.changes, answer.upto)
         return answer
 
     def _watch_ms(self) -> int:
-        """Return how long the service is to wait for a change.
+        """Return how long the store is to wait for a change.
 
-        While it is away only a short question finds out when it is back: a
-        watch that it swallows would be waited for.
+        While it is unavailable, only a short call detects that it is back: a
+        watch without an answer would be waited for.
         """
         if self.unavailable_since_ms is not None:
             return 0
         return self.follower_client.watch_ms(self.listing.proxies.values())
 
     async def _read_everything(self):
-        asked_ms = clock.suspended_ms()
+        sent_ms = clock.suspended_ms()
         answer = await self.adapter.store.everything(ALL_KEYS_PREFIX)
         if isinstance(answer, key_value.Changes):
             self.history_lost = False
-            self._take_all(answer.changes, answer.upto)
+            self._apply_snapshot(answer.changes, answer.upto)
             self.log.emit(
                 'directory',
                 'read everything',
                 inputs={
                     'entries': len(answer.changes),
                     'revision': answer.upto,
-                    'took_ms': clock.suspended_ms() - asked_ms,
+                    'took_ms': clock.suspended_ms() - sent_ms,
                 },
             )
         return answer
 
     async def catch_up(self) -> bool:
-        """Learn what has changed by now; say whether anyone told it.
+        """Read what has changed by now; return whether any source answered.
 
-        Peers are asked where the service does not answer in time.
+        Peers are asked if the store does not answer in time.
         """
         if self.unavailable_since_ms is None:
             try:
@@ -239,7 +241,7 @@
         return await self.ask_peers(CATCH_UP_TIMEOUT_S)
 
     async def _read_now(self) -> bool:
-        """Read what is new without waiting; say whether it is known."""
+        """Read changes without waiting; return whether the store answered."""
         answer = await self._read_changes(0)
         if isinstance(answer, key_value.HistoryLost):
             answer = await self._read_everything()
@@ -248,9 +250,9 @@
     async def ask_peers(
         self, within_s: float, count: int = PEERS_TO_ASK
     ) -> bool:
-        """Learn from some peers at once; say whether any answered.
+        """Read changes from some peers; return whether any answered.
 
-        Also true if there is no peer to ask.
+        Also return True if there is no peer to ask.
         """
         addresses = {
             proxy.peer_address
@@ -260,53 +262,53 @@
         chosen = self.peer_client.choose_peers(addresses, count)
         if not chosen:
             return True
-        asking = [
+        requests = [
             asyncio.create_task(
                 self.peer_client.fetch_changes(address, self.known.seen)
             )
             for address in chosen
         ]
-        done, late = await asyncio.wait(asking, timeout=within_s)
-        for task in late:
+        done, pending = await asyncio.wait(requests, timeout=within_s)
+        for task in pending:
             task.cancel()
         answers = [task.result() for task in done]
-        for told in answers:
-            self._take_told(told)
-        return any(told is not None for told in answers)
+        for answer in answers:
+            self._apply_peer_answer(answer)
+        return any(answer is not None for answer in answers)
 
-    def _take_told(self, told: peers.PeerAnswer | None) -> None:
-        if told is None or told.revision <= self.known.seen:
+    def _apply_peer_answer(self, answer: peers.PeerAnswer | None) -> None:
+        if answer is None or answer.revision <= self.known.seen:
             return
-        if told.changes:
+        if answer.changes:
             inputs = {
-                'revision': told.revision,
+                'revision': answer.revision,
                 'before': self.known.seen,
-                'changes': len(told.changes),
-                'complete': told.complete,
+                'changes': len(answer.changes),
+                'complete': answer.complete,
             }
             self.log.emit('directory', 'told by a peer', inputs=inputs)
-        if told.complete:
-            self._take_all(told.changes, told.revision)
+        if answer.complete:
+            self._apply_snapshot(answer.changes, answer.revision)
         else:
-            self._take(told.changes, told.revision)
+            self._apply(answer.changes, answer.revision)
 
-    def _away(self, answer: key_value.Unavailable) -> None:
+    def _record_unavailable(self, answer: key_value.Unavailable) -> None:
         if self.unavailable_since_ms is None:
             self.unavailable_since_ms = clock.suspended_ms()
-            # Who waits here for news has to hear another.
-            self._tell_news()
+            # Peers that wait here for changes have to choose another source.
+            self._notify_waiters()
             self.log.emit(
                 'directory', 'store lost', inputs={'detail': answer.detail}
             )
 
-    def _back(
+    def _record_available(
         self, answer: key_value.Changes | follower_client.FollowerAnswer
     ) -> None:
         now_ms = clock.suspended_ms()
         if self.unavailable_since_ms is not None:
             away_ms = now_ms - self.unavailable_since_ms
             self.unavailable_since_ms = None
-            # What lapsed meanwhile has its time to come back from now on.
+            # Entries that expired meanwhile get their full grace period now.
             for key in self.listing.missing_since_ms:
                 self.listing.missing_since_ms[key] = now_ms
             self.log.emit(
@@ -316,25 +318,27 @@
             now_ms = max(self.confirmed_ms, answer.confirmed_ms)
         self.confirmed_ms = now_ms
 
-    # ---- taking in ----
+    # ---- applying changes ----
 
-    def _take_all(self, changes: list[revisions.Change], upto: int) -> None:
-        """Take in everything there is; what is not there has ended."""
+    def _apply_snapshot(
+        self, changes: list[revisions.Change], upto: int
+    ) -> None:
+        """Apply a complete read; entries missing from it are removed."""
         ended = revisions.record_compaction(self.known, upto, changes)
-        self._take([*ended, *changes], upto)
+        self._apply([*ended, *changes], upto)
 
-    def _take(self, changes: list[revisions.Change], upto: int) -> None:
+    def _apply(self, changes: list[revisions.Change], upto: int) -> None:
         new = revisions.merge(self.known, self.known.seen, upto, changes)
         self.first_read.set()
         now_ms = clock.suspended_ms()
         services: set[str] = set()
         for change in new or ():
-            services |= self._take_one(now_ms, change)
+            services |= self._apply_change(now_ms, change)
         if new:
-            self._tell_news()
-        self._tell(services)
+            self._notify_waiters()
+        self._notify_services(services)
 
-    def _take_one(self, now_ms: int, change: revisions.Change) -> set[str]:
+    def _apply_change(self, now_ms: int, change: revisions.Change) -> set[str]:
         if change.key.startswith(OWN_PREFIX):
             self.own_changed.set()
             if not change.key.startswith(PROXY_PREFIX):
@@ -344,8 +348,8 @@
         try:
             record = self._decode(change)
         except (ValueError, KeyError) as error:
-            # One bad entry must not stop all that come after it. What it
-            # said before does not hold any more: its writer is missing.
+            # A bad entry must not block the entries that follow. Its earlier
+            # value is not valid any more: its writer counts as missing.
             self.log.emit(
                 'directory',
                 'bad entry',
@@ -361,7 +365,7 @@
             self.listing, now_ms, self.confirmed_ms, change.key, record
         )
         if isinstance(record, listings.Configuration):
-            self._note_configuration(record, change)
+            self._record_configuration(record, change)
         return services
 
     def _decode(self, change: revisions.Change) -> listings.Record | None:
@@ -373,7 +377,7 @@
             )
         return self.adapter.decode(change.key, change.value, change.revision)
 
-    def _note_configuration(
+    def _record_configuration(
         self, record: listings.Configuration, change: revisions.Change
     ) -> None:
         self.configured.set()
@@ -388,15 +392,15 @@
             },
         )
 
-    def _tell(self, services: set[str]) -> None:
+    def _notify_services(self, services: set[str]) -> None:
         if services:
-            self.changed(services)
+            self.on_change(services)
 
     async def _expire_forever(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             now_ms = clock.suspended_ms()
-            self._tell(
+            self._notify_services(
                 listings.remove_expired(
                     self.listing, now_ms, self.unavailable_since_ms
                 )
--- a/topazring/pooler/follower_client.py
+++ b/topazring/pooler/follower_client.py
@@ -1,4 +1,4 @@
-"""Hear from a follower of the platform's service what changed there."""
+"""Read changes of the platform's store from a proxy that follows it."""
 
 import collections.abc
 import dataclasses
@@ -11,43 +11,43 @@
 
 __all__ = ['FollowerAnswer', 'FollowerClient']
 
-# The parts of the time within which a change has to be in force: a follower's
-# own watch takes one of them, a hearer's question another, and the third is
-# left for another follower, or the service itself, where one is lost.
+# Parts of the time within which a change has to be in force. A follower's own
+# watch takes one, a reader's request to the follower another. The third is
+# left for another follower, or the store itself, if a follower is lost.
 DEADLINE_PARTS = 3
-# A follower's last answer of the service may be older than its watch by what
-# that is late, and by what the answer takes to come here.
+# The store's last answer to a follower may be older than the follower's watch:
+# that answer may be late, and the follower's answer takes time to arrive.
 AGE_SLACK_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FollowerAnswer:
-    """Hold what a follower told, and for when it was complete."""
+    """Answer of a follower, and the time at which it was complete."""
 
-    told: peers.PeerAnswer
+    answer: peers.PeerAnswer
     confirmed_ms: int
 
 
 class FollowerClient:
-    """Own the questions to followers; remember whom to hear."""
+    """Choose a follower and request changes from it."""
 
     def __init__(
         self,
         name: str,
         data_centre: str,
-        asker: peers.PeerClient,
+        peer_client: peers.PeerClient,
         log: events.EventLog,
-        in_force_ms: int,
+        apply_deadline_ms: int,
     ):
         self.name = name
         self.data_centre = data_centre
-        self.peer_client = asker
+        self.peer_client = peer_client
         self.log = log
-        self.in_force_ms = in_force_ms
-        # How long a question waits for a change.
-        self.wait_ms = in_force_ms // DEADLINE_PARTS
-        self.hearing = followers.FollowerBackoff()
-        # Whom this proxy hears; empty while it asks the service itself.
+        self.apply_deadline_ms = apply_deadline_ms
+        # How long a request waits for a change.
+        self.wait_ms = apply_deadline_ms // DEADLINE_PARTS
+        self.backoff = followers.FollowerBackoff()
+        # The follower in use; empty while this proxy reads the store itself.
         self.source = ''
 
     async def poll(
@@ -55,66 +55,66 @@
         proxies: collections.abc.Iterable[listings.ProxyRecord],
         after: int,
     ) -> FollowerAnswer | None:
-        """Return what a follower tells; None if the service is to be asked.
+        """Return a follower's answer, None if the store is to be read.
 
-        A follower that is heard for the first time, or again after a
-        failure, answers at once. So a proxy whose follower was lost is up to
-        date again before it waits for the next change.
+        The first request to a follower, and the first after a failure, is
+        answered at once. So a proxy whose follower was lost is up to date
+        again before it waits for the next change.
         """
         addresses = self._addresses(proxies)
         names = addresses.keys() | {self.name}
         while True:
             now_ms = clock.suspended_ms()
             source = followers.choose_follower(
-                self.hearing, now_ms, self.name, names
+                self.backoff, now_ms, self.name, names
             )
             if not source:
                 self._change_source('')
                 return None
             wait_ms = self.wait_ms if source == self.source else 0
-            told = await self.peer_client.fetch_changes(
+            answer = await self.peer_client.fetch_changes(
                 addresses[source], after, wait_ms
             )
-            if told is not None and self._will_do(told):
+            if answer is not None and self._is_current(answer):
                 self._change_source(source)
-                return FollowerAnswer(told, now_ms - told.age_ms)
-            self._pass_over(source, told)
+                return FollowerAnswer(answer, now_ms - answer.age_ms)
+            self._reject(source, answer)
 
     def watch_ms(
         self, proxies: collections.abc.Iterable[listings.ProxyRecord]
     ) -> int:
-        """Return how long this proxy's own watch of the service may last.
+        """Return how long this proxy's own watch of the store may last.
 
-        A watch may be swallowed, and whoever hears this proxy learns nothing
-        until that is noticed.
+        A watch may get no answer, and readers of this proxy receive nothing
+        until that is detected.
         """
         names = self._addresses(proxies).keys() | {self.name}
-        heard = followers.uses_followers(names)
-        return self.wait_ms if heard else self.in_force_ms
+        has_readers = followers.uses_followers(names)
+        return self.wait_ms if has_readers else self.apply_deadline_ms
 
     def _addresses(
         self, proxies: collections.abc.Iterable[listings.ProxyRecord]
     ) -> dict[str, str]:
-        """Return where the proxies of this data centre are asked, by name."""
+        """Return the peer addresses in this data centre, by proxy name."""
         return {
             record.name: record.peer_address
             for record in proxies
             if record.data_centre == self.data_centre and record.peer_address
         }
 
-    def _will_do(self, told: peers.PeerAnswer) -> bool:
-        """Say whether a proxy knows what the service says now.
+    def _is_current(self, answer: peers.PeerAnswer) -> bool:
+        """Return whether an answer comes from an up-to-date follower.
 
-        One that hears another itself must not be heard: two that heard each
-        other would learn nothing any more, and nobody would notice.
+        A proxy that reads from another must not be used: two that read from
+        each other would receive no changes any more, undetected.
         """
-        return told.follows and told.age_ms <= self.wait_ms + AGE_SLACK_MS
+        return answer.follows and answer.age_ms <= self.wait_ms + AGE_SLACK_MS
 
-    def _pass_over(self, source: str, told: peers.PeerAnswer | None) -> None:
-        followers.record_failure(self.hearing, clock.suspended_ms(), source)
-        inputs = {'follower': source, 'answered': told is not None}
-        if told is not None:
-            inputs |= {'follows': told.follows, 'age_ms': told.age_ms}
+    def _reject(self, source: str, answer: peers.PeerAnswer | None) -> None:
+        followers.record_failure(self.backoff, clock.suspended_ms(), source)
+        inputs = {'follower': source, 'answered': answer is not None}
+        if answer is not None:
+            inputs |= {'follows': answer.follows, 'age_ms': answer.age_ms}
         self.log.emit('directory', 'follower passed over', inputs=inputs)
 
     def _change_source(self, source: str) -> None:
--- a/topazring/pooler/group_task.py
+++ b/topazring/pooler/group_task.py
@@ -1,4 +1,4 @@
-"""Own one group of upstreams: its core, its connections, its timer."""
+"""Run one group of upstreams: its core, its connections and its timer."""
 
 import asyncio
 import collections
@@ -20,13 +20,13 @@
 
 # EX_SOFTWARE of sysexits.h.
 EXIT_BROKEN_INVARIANT = 70
-# A state that breaks again and again is not mended by beginning anew; then
-# the process ends, and all that it holds in memory with it.
+# A state that breaks again and again is not repaired by a restart of the
+# group; then the process ends, and with it all that it holds in memory.
 MAX_RESTARTS = 3
 RESTART_WINDOW_MS = 60_000
-# What a group is told once and goes on knowing when it begins anew, in the
-# order in which it needs it.
-_LASTING = (
+# Messages that a group receives once and needs again after a restart, in the
+# order in which it needs them.
+_RETAINED_MESSAGES = (
     messages.InstancesSeen,
     messages.UpstreamsSeen,
     messages.PromotionLeaseSeen,
@@ -34,7 +34,7 @@
 
 
 class GroupTask:
-    """Run a group's core and do what it says."""
+    """Run a group's core and execute the actions that it returns."""
 
     def __init__(
         self,
@@ -53,31 +53,31 @@
         self.kind = groups.group_kind(kind)
         self.state = states.make_group(service, data_centre, limits)
         self.links: dict[int, upstream_link.UpstreamLink] = {}
-        self.answers: dict[int, asyncio.Future] = {}
+        self.pending_answers: dict[int, asyncio.Future] = {}
         self.inbox: collections.deque[object] = collections.deque()
-        self.working = False
-        # The last of each kind of message that a new state needs again.
-        self.told: dict[type, object] = {}
+        self.is_processing = False
+        # The last message of each retained type, for a new state.
+        self.retained: dict[type, object] = {}
         self.restarts_ms: collections.deque[int] = collections.deque(
             maxlen=MAX_RESTARTS
         )
         self.tasks: set[asyncio.Task] = set()
-        # Called when the duty may be lost: an order was refused, or this
-        # process stood still.
+        # Called when the promotion lease may be lost: an order was refused,
+        # or this process resumed after a pause.
         self.request_lease_recheck = None
-        # Says, right before an order, whether the duty is still ours.
+        # Returns, right before an order, whether the lease is still held.
         self.verify_holder = None
-        # Reads anew what is listed, and tells what has changed.
+        # Reads the listed upstreams again and posts what has changed.
         self.read_upstream_list = None
-        # Called when another proxy should have the duty.
+        # Called when another proxy should acquire the promotion lease.
         self.yield_lease = None
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the timer."""
         self._spawn(self._tick_forever())
 
     def close(self) -> None:
-        """Answer what is in hand and close every connection."""
+        """Answer all pending requests and close every connection."""
         self.post(messages.Shutdown())
         for task in list(self.tasks):
             task.cancel()
@@ -87,52 +87,52 @@
     def _spawn(self, coroutine) -> None:
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._handle_task_end)
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _handle_task_end(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._tell_broken(task.exception())
+            self._log_broken_invariant(task.exception())
             self._end_process()
 
     async def submit(self, request: messages.Request) -> outcomes.Outcome:
-        """Return the request's one final answer."""
+        """Return the final outcome of a request."""
         answer = asyncio.get_running_loop().create_future()
-        self.answers[request.key] = answer
+        self.pending_answers[request.key] = answer
         self.post(messages.Submit(request))
         return await answer
 
     def post(self, message: object) -> None:
-        """Put a message in the inbox and work the inbox off."""
-        if isinstance(message, _LASTING):
-            self.told[type(message)] = message
+        """Add a message to the inbox and process the inbox."""
+        if isinstance(message, _RETAINED_MESSAGES):
+            self.retained[type(message)] = message
         self.inbox.append(message)
-        if self.working:
+        if self.is_processing:
             return
-        self.working = True
+        self.is_processing = True
         try:
             while self.inbox:
-                self._take(self.inbox.popleft())
+                self._step(self.inbox.popleft())
         finally:
-            self.working = False
+            self.is_processing = False
 
-    def _take(self, message: object) -> None:
+    def _step(self, message: object) -> None:
         try:
             for out in self.kind.step(
                 self.state, clock.suspended_ms(), message
             ):
-                self._perform(out)
+                self._execute(out)
         except Exception as error:
-            self._begin_anew(error)
+            self._restart(error)
 
-    def _begin_anew(self, error: Exception) -> None:
+    def _restart(self, error: Exception) -> None:
         """Replace a state that broke an invariant; answer its requests.
 
-        The process serves other groups, whose callers' sessions would be cut
-        with it: of ten groups the other nine lose nothing.
+        Ending the process would cut the sessions of callers of its other
+        groups: with a restart, nine of ten groups lose nothing.
         """
         now_ms = clock.suspended_ms()
-        self._tell_broken(error)
+        self._log_broken_invariant(error)
         full = len(self.restarts_ms) == MAX_RESTARTS
         if full and now_ms - self.restarts_ms[0] < RESTART_WINDOW_MS:
             self._end_process()
@@ -146,27 +146,31 @@
             for message in self.inbox
             if isinstance(message, messages.Submit)
         }
-        for key in list(self.answers):
+        for key in list(self.pending_answers):
             if key not in waiting:
                 outcome = restart.outcome_after_restart(broken, key)
                 self._answer(messages.Answer(key, outcome))
-        told = [self.told[kind] for kind in _LASTING if kind in self.told]
-        self.inbox.extendleft(reversed(told))
+        retained = [
+            self.retained[kind]
+            for kind in _RETAINED_MESSAGES
+            if kind in self.retained
+        ]
+        self.inbox.extendleft(reversed(retained))
 
-    def _perform(self, out: object) -> None:
+    def _execute(self, out: object) -> None:
         match out:
             case messages.Send():
                 self.links[out.connection].send(out.commands)
             case messages.Answer():
                 self._answer(out)
             case messages.Open():
-                self._open(out)
+                self._open_link(out)
             case messages.Close():
                 link = self.links.pop(out.connection, None)
                 if link is not None:
                     link.close()
             case messages.OrderPromotion():
-                self._spawn(self._order(out))
+                self._spawn(self._order_promotion(out))
             case messages.ReadUpstreamList():
                 self._spawn(self._read_list(out))
             case messages.YieldPromotionLease():
@@ -178,11 +182,11 @@
                 )
 
     def _answer(self, out: messages.Answer) -> None:
-        answer = self.answers.pop(out.key)
+        answer = self.pending_answers.pop(out.key)
         if not answer.done():
             answer.set_result(out.outcome)
 
-    def _open(self, out: messages.Open) -> None:
+    def _open_link(self, out: messages.Open) -> None:
         link = upstream_link.UpstreamLink(
             out.connection, self.adapter.upstreams, self.handle_link_message
         )
@@ -190,12 +194,12 @@
         link.start(self.service, out.upstream, out.address)
 
     def handle_link_message(self, message: object) -> None:
-        """Take in what a link tells; forget the link at its end."""
+        """Post a link's message; remove the link when it is closed."""
         if isinstance(message, messages.Closed):
             self.links.pop(message.connection, None)
         self.post(message)
 
-    async def _order(self, out: messages.OrderPromotion) -> None:
+    async def _order_promotion(self, out: messages.OrderPromotion) -> None:
         result = messages.OrderResult.REFUSED
         if self.verify_holder is None or await self.verify_holder():
             result = await self.adapter.orders.promote(
@@ -219,10 +223,10 @@
             self.request_lease_recheck()
 
     async def _read_list(self, out: messages.ReadUpstreamList) -> None:
-        told = (
+        is_read = (
             self.read_upstream_list is None or await self.read_upstream_list()
         )
-        self.post(messages.UpstreamListRead(out.token, told))
+        self.post(messages.UpstreamListRead(out.token, is_read))
 
     async def _tick_forever(self) -> None:
         before_ms = clock.suspended_ms()
@@ -237,7 +241,7 @@
             if paused and self.request_lease_recheck:
                 self.request_lease_recheck()
 
-    def _tell_broken(self, error: BaseException) -> None:
+    def _log_broken_invariant(self, error: BaseException) -> None:
         self.log.emit(
             'group',
             'broken invariant',
@@ -247,6 +251,6 @@
         traceback.print_exception(error)
 
     def _end_process(self) -> None:
-        """End at once: a broken invariant must not serve anyone."""
+        """Exit at once: a process with a broken invariant must not serve."""
         self.log.close()
         os._exit(EXIT_BROKEN_INVARIANT)
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -1,8 +1,9 @@
-"""Ask other proxies over one TCP stream each, opened when it is needed.
+"""Send requests to other proxies over one TCP stream each.
 
-Nothing is sent again by itself: a link that ends leaves open what became of
-a request, and the entry decides what to do about it. At one core a stream
-costs 32 us a message, pynng 295 us and 1.4 MB a process.
+A stream is opened when it is needed. Requests are not sent again here: after
+a lost link their outcome is unknown, and the sending proxy decides what to do
+about it. At one core a stream costs 32 us a message; pynng cost 295 us and
+1.4 MB a process.
 """
 
 import asyncio
@@ -21,15 +22,15 @@
 
 __all__ = ['Link']
 
-# A peer answers a connection within milliseconds.
+# A peer accepts a connection within milliseconds.
 CONNECT_TIMEOUT_S = 0.3
-# A link with requests under way that has been silent for so long is asked
-# for a sign of life, and given up after so much longer: a statement takes
-# 10 to 20 ms, a caller has 600.
+# A link with pending requests is pinged after it has been silent for
+# PING_AFTER_MS, and closed after SILENCE_TIMEOUT_MS: a statement takes 10 to
+# 20 ms, and a caller has 600 ms.
 PING_AFTER_MS = 150
 SILENCE_TIMEOUT_MS = 400
 WATCH_INTERVAL_S = 0.05
-# The answer takes a little of the caller's time on its way back.
+# Part of the caller's time that is reserved for the answer's way back.
 RETURN_MARGIN_MS = 5
 
 
@@ -39,19 +40,19 @@
     def __init__(self, address: str):
         self.address = address
         self.numbers = itertools.count(1)
-        self.asked: dict[int, asyncio.Future] = {}
-        # Set while something may be asked: an idle link wakes nobody.
-        self.in_use = asyncio.Event()
+        self.pending: dict[int, asyncio.Future] = {}
+        # Set while requests may be pending; an idle link causes no wake-ups.
+        self.has_pending = asyncio.Event()
         self.stream: iostream.IOStream | None = None
-        self.opening: asyncio.Task | None = None
+        self.connecting: asyncio.Task | None = None
         self.tasks: set[asyncio.Task] = set()
-        self.heard_ms = 0
+        self.last_received_ms = 0
 
     def close(self) -> None:
-        """End the stream; what is under way on it is lost."""
+        """Close the stream; requests in flight on it are lost."""
         for task in list(self.tasks):
             task.cancel()
-        self._end()
+        self._close_stream()
 
     async def send_request(
         self,
@@ -59,57 +60,57 @@
         deadline_ms: int,
         load: forwarding.Load,
     ) -> outcomes.Outcome | forwarding.LinkLost:
-        """Return the answer, or that the link was lost before it.
+        """Return the outcome, or LinkLost if the link ended before it came.
 
-        `load` is brought up to date with what the owner tells of its line.
+        `load` is updated with the queue length that the owner reports.
         """
         load.in_flight += 1
         try:
-            return await self._ask(request, deadline_ms, load)
+            return await self._exchange(request, deadline_ms, load)
         finally:
             load.in_flight -= 1
 
-    async def _ask(
+    async def _exchange(
         self,
         request: messages.Request,
         deadline_ms: int,
         load: forwarding.Load,
     ) -> outcomes.Outcome | forwarding.LinkLost:
-        stream = await self._open()
+        stream = await self._connected_stream()
         if stream is None or stream is not self.stream:
-            # It has ended meanwhile, and whoever reads it has gone.
+            # The stream has ended meanwhile, and nothing reads it any more.
             return forwarding.LinkLost(False)
         number = next(self.numbers)
         answer = asyncio.get_running_loop().create_future()
-        if not self.asked:
-            # Silence counts from the first question on.
-            self.heard_ms = clock.suspended_ms()
-        self.asked[number] = answer
-        self.in_use.set()
+        if not self.pending:
+            # Silence counts from the first pending request.
+            self.last_received_ms = clock.suspended_ms()
+        self.pending[number] = answer
+        self.has_pending.set()
         left_ms = deadline_ms - clock.suspended_ms() - RETURN_MARGIN_MS
         hop_frames.write(
             stream, hop_frames.RequestFrame(number, left_ms, request)
         )
-        told = await answer
-        if isinstance(told, forwarding.LinkLost):
-            return told
-        outcome, load.waiting = told
+        result = await answer
+        if isinstance(result, forwarding.LinkLost):
+            return result
+        outcome, load.waiting = result
         load.reported_ms = clock.suspended_ms()
         return outcome
 
     def withdraw(self, service: str, transaction: int) -> None:
-        """Tell the owner to undo a transaction."""
+        """Ask the owner to abort a transaction."""
         if self.stream is not None:
             hop_frames.write(
                 self.stream, hop_frames.WithdrawFrame(service, transaction)
             )
 
-    async def _open(self) -> iostream.IOStream | None:
+    async def _connected_stream(self) -> iostream.IOStream | None:
         if self.stream is not None and not self.stream.closed():
             return self.stream
-        if self.opening is None:
-            self.opening = asyncio.create_task(self._connect())
-        return await asyncio.shield(self.opening)
+        if self.connecting is None:
+            self.connecting = asyncio.create_task(self._connect())
+        return await asyncio.shield(self.connecting)
 
     async def _connect(self) -> iostream.IOStream | None:
         target = settings.endpoint(self.address)
@@ -121,10 +122,13 @@
         except (OSError, TimeoutError, iostream.StreamClosedError):
             return None
         finally:
-            self.opening = None
+            self.connecting = None
         self.stream = stream
-        self.heard_ms = clock.suspended_ms()
-        for work in (self._read_forever(stream), self._watch(stream)):
+        self.last_received_ms = clock.suspended_ms()
+        for work in (
+            self._read_forever(stream),
+            self._watch_for_silence(stream),
+        ):
             task = asyncio.create_task(work)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -135,47 +139,47 @@
         try:
             while True:
                 frame = await hop_frames.read(reader)
-                self.heard_ms = clock.suspended_ms()
+                self.last_received_ms = clock.suspended_ms()
                 if isinstance(frame, hop_frames.AnswerFrame):
-                    self._take(frame)
+                    self._handle_answer(frame)
         except (OSError, iostream.StreamClosedError, ValueError):
-            # What was asked is told that the link is lost.
+            # _close_stream() reports the lost link to pending requests.
             pass
         finally:
             if self.stream is stream:
-                self._end()
+                self._close_stream()
 
-    def _take(self, told: hop_frames.AnswerFrame) -> None:
-        # An outcome that is not known here ends the link like any other bytes
-        # that are no frame: read it before it is anyone's answer.
-        outcome = hop_frames.to_outcome(told)
-        answer = self.asked.pop(told.id, None)
+    def _handle_answer(self, frame: hop_frames.AnswerFrame) -> None:
+        # Decode before the request is removed: an unknown outcome then ends
+        # the link, as a malformed frame does, and the request gets LinkLost.
+        outcome = hop_frames.to_outcome(frame)
+        answer = self.pending.pop(frame.id, None)
         if answer is not None and not answer.done():
-            answer.set_result((outcome, told.waiting))
+            answer.set_result((outcome, frame.waiting))
 
-    async def _watch(self, stream: iostream.IOStream) -> None:
-        """End a link on which nothing comes although something is due.
+    async def _watch_for_silence(self, stream: iostream.IOStream) -> None:
+        """Close a link that stays silent although answers are due.
 
-        A peer without power or behind a partition answers nothing, and the
-        kernel notices seconds later; callers have a part of one.
+        A peer that lost power or is partitioned answers nothing. The kernel
+        detects that only after seconds; callers have a fraction of one.
         """
         while not stream.closed():
-            await self.in_use.wait()
+            await self.has_pending.wait()
             await asyncio.sleep(WATCH_INTERVAL_S)
-            if not self.asked:
-                self.in_use.clear()
+            if not self.pending:
+                self.has_pending.clear()
                 continue
-            silent_ms = clock.suspended_ms() - self.heard_ms
+            silent_ms = clock.suspended_ms() - self.last_received_ms
             if silent_ms >= SILENCE_TIMEOUT_MS:
                 stream.close()
             elif silent_ms >= PING_AFTER_MS:
                 hop_frames.write(stream, framing.Ping())
 
-    def _end(self) -> None:
+    def _close_stream(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
-        asked, self.asked = self.asked, {}
-        for answer in asked.values():
+        pending, self.pending = self.pending, {}
+        for answer in pending.values():
             if not answer.done():
                 answer.set_result(forwarding.LinkLost(True))
--- a/topazring/pooler/hop_frames.py
+++ b/topazring/pooler/hop_frames.py
@@ -1,4 +1,4 @@
-"""Say what proxies send each other for a request, and read it back."""
+"""Encode and decode the frames that proxies exchange about requests."""
 
 import typing
 
@@ -23,7 +23,7 @@
 
 
 class RequestFrame(msgspec.Struct, array_like=True, tag='q'):
-    """Carry a request; `left_ms` is what is left of its time."""
+    """Request; `left_ms` is the time that is left for it."""
 
     id: int
     left_ms: int
@@ -31,7 +31,7 @@
 
 
 class AnswerFrame(msgspec.Struct, array_like=True, tag='a'):
-    """Carry an answer, by the name of its kind."""
+    """Outcome of a request; `kind` is the name of its class."""
 
     id: int
     kind: str
@@ -42,12 +42,12 @@
     reason: str = ''
     retry_after_ms: int = 0
     detail: str = ''
-    # Requests that wait at the owner for the same service.
+    # Requests that are queued at the owner for the same service.
     waiting: int = 0
 
 
 class WithdrawFrame(msgspec.Struct, array_like=True, tag='w'):
-    """Say that a transaction's caller is gone, or rolled it back."""
+    """Report that a transaction's caller rolled it back or disconnected."""
 
     service: str
     transaction: int
@@ -61,7 +61,7 @@
 
 
 def to_answer_frame(number: int, outcome: outcomes.Outcome) -> AnswerFrame:
-    """Return the frame for an answer."""
+    """Return the frame for an outcome."""
     kind = type(outcome).__name__
     match outcome:
         case outcomes.Done():
@@ -88,29 +88,33 @@
             )
 
 
-def to_outcome(told: AnswerFrame) -> outcomes.Outcome:
-    """Return the answer that a frame carries; ValueError if it is none."""
-    match told.kind:
+def to_outcome(frame: AnswerFrame) -> outcomes.Outcome:
+    """Return the outcome in a frame; raise ValueError if it has none."""
+    match frame.kind:
         case 'Done':
             return outcomes.Done(
-                told.rows, told.place, told.served_by, False, told.signature
+                frame.rows,
+                frame.place,
+                frame.served_by,
+                False,
+                frame.signature,
             )
         case 'NotRun':
-            reason = outcomes.Reason(told.reason)
-            return outcomes.NotRun(reason, told.retry_after_ms)
+            reason = outcomes.Reason(frame.reason)
+            return outcomes.NotRun(reason, frame.retry_after_ms)
         case 'Unknown':
-            return outcomes.Unknown(outcomes.Reason(told.reason))
+            return outcomes.Unknown(outcomes.Reason(frame.reason))
         case 'Rejected':
-            reason = outcomes.Reason(told.reason)
-            return outcomes.Rejected(reason, told.detail)
-    raise ValueError(f'no such outcome: {told.kind[:20]}')
+            reason = outcomes.Reason(frame.reason)
+            return outcomes.Rejected(reason, frame.detail)
+    raise ValueError(f'no such outcome: {frame.kind[:20]}')
 
 
 async def read(reader: framing.Reader) -> Frame:
-    """Return the next frame; ValueError if it is none."""
+    """Return the next frame; raise ValueError if it is malformed."""
     return _decode(await reader.read())
 
 
 def write(stream: iostream.IOStream, frame: Frame) -> None:
-    """Send a frame; whoever reads notices if the stream has ended."""
+    """Send a frame; the reader detects a stream that has ended."""
     framing.write(stream, _encode(frame))
--- a/topazring/pooler/hop_server.py
+++ b/topazring/pooler/hop_server.py
@@ -19,32 +19,32 @@
 __all__ = ['Host', 'Server']
 
 
-# Of what is wrong with a frame so many characters are told.
+# Errors about bad frames are cut to this length in log lines.
 MAX_ERROR_CHARS = 200
 
 
 class Host(typing.Protocol):
-    """Say what serves the requests that come from other proxies."""
+    """Interface of the process that serves other proxies' requests."""
 
     log: events.EventLog
 
     async def serve_for_peer(
         self, request: messages.Request
     ) -> outcomes.Outcome:
-        """Serve another proxy's request, without asking a third."""
+        """Serve another proxy's request, without forwarding it again."""
 
     def withdraw_locally(self, service: str, transaction: int) -> None:
-        """Undo a transaction that was begun here."""
+        """Abort a transaction that was begun in this process."""
 
     def queued_locally(self, service: str) -> int:
-        """Return how many requests wait here for a service."""
+        """Return how many requests are queued here for a service."""
 
     def next_key(self) -> int:
-        """Return a number that this process has not used."""
+        """Return a number that is unique in this process."""
 
 
 class Server(tcpserver.TCPServer):
-    """Serve the requests of other proxies."""
+    """Accept the streams of other proxies."""
 
     def __init__(self, host: Host):
         super().__init__()
@@ -52,65 +52,65 @@
         self.peer_streams: dict[iostream.IOStream, _PeerStream] = {}
 
     def start_at(self, address: str) -> None:
-        """Listen."""
+        """Listen on an address."""
         target = settings.endpoint(address)
         self.listen(target.port, target.host)
 
     def close(self) -> None:
-        """Stop listening and end all streams."""
+        """Stop listening and close all streams."""
         self.stop()
         for stream in list(self.peer_streams):
             stream.close()
 
     def is_busy(self) -> bool:
-        """Say whether anything of another proxy is under way or open."""
+        """Return whether any peer has requests or transactions here."""
         return any(
-            entry.tasks or entry.transactions
-            for entry in self.peer_streams.values()
+            peer_stream.tasks or peer_stream.transactions
+            for peer_stream in self.peer_streams.values()
         )
 
     async def handle_stream(
         self, stream: iostream.IOStream, address: tuple
     ) -> None:
-        """Serve one proxy until its stream ends; undo what it left open."""
+        """Serve one proxy until its stream ends; abort its transactions."""
         dialling.keep_alive(stream.socket)
-        entry = _PeerStream(self.host, stream)
-        self.peer_streams[stream] = entry
+        peer_stream = _PeerStream(self.host, stream)
+        self.peer_streams[stream] = peer_stream
         reader = framing.Reader(stream)
         try:
             while True:
-                entry.handle_frame(await hop_frames.read(reader))
+                peer_stream.handle_frame(await hop_frames.read(reader))
         except ValueError as error:
-            # Another version, or no proxy at all.
+            # A proxy of another version, or no proxy.
             self.host.log.emit(
                 'hop',
                 'bad frame',
                 inputs={'error': str(error)[:MAX_ERROR_CHARS]},
             )
         except (OSError, iostream.StreamClosedError):
-            # It left, which it knows; what it had open is undone.
+            # The peer closed the stream; its transactions are aborted below.
             pass
         finally:
             del self.peer_streams[stream]
-            entry.undo()
+            peer_stream.withdraw_all()
             stream.close()
 
 
 class _PeerStream:
-    """Hold what one other proxy has under way here."""
+    """Requests and transactions of one other proxy in this process."""
 
     def __init__(self, host: Host, stream: iostream.IOStream):
         self.host = host
         self.stream = stream
-        # The entry's number of a transaction to ours and its service.
+        # The peer's transaction number to the local number and the service.
         self.transactions: dict[int, tuple[int, str]] = {}
         self.tasks: set[asyncio.Task] = set()
 
     def handle_frame(self, frame: hop_frames.Frame) -> None:
-        """Take in one frame."""
+        """Handle one frame."""
         match frame:
             case hop_frames.RequestFrame():
-                request = self._adopt(frame)
+                request = self._localise(frame)
                 task = asyncio.create_task(self._serve(frame, request))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
@@ -122,54 +122,57 @@
                 raise ValueError('no question')
 
     async def _serve(
-        self, ask: hop_frames.RequestFrame, request: messages.Request
+        self, frame: hop_frames.RequestFrame, request: messages.Request
     ) -> None:
         outcome = await self.host.serve_for_peer(request)
-        theirs = ask.request.transaction
+        peer_transaction = frame.request.transaction
         ends = request.statement.verb.ends_transaction
-        if theirs and (ends or not isinstance(outcome, outcomes.Done)):
-            self.transactions.pop(theirs, None)
+        if peer_transaction and (
+            ends or not isinstance(outcome, outcomes.Done)
+        ):
+            self.transactions.pop(peer_transaction, None)
         if self.stream.closed():
-            if theirs:
-                # It may have ended before the request was taken in: what that
-                # began was not there yet to be undone.
+            if peer_transaction:
+                # The stream may have ended before the transaction began, and
+                # withdraw_all() did not find anything to abort yet.
                 service = request.policy.service
                 self.host.withdraw_locally(service, request.transaction)
             return
-        told = hop_frames.to_answer_frame(ask.id, outcome)
-        told.waiting = self.host.queued_locally(request.policy.service)
-        hop_frames.write(self.stream, told)
+        answer = hop_frames.to_answer_frame(frame.id, outcome)
+        answer.waiting = self.host.queued_locally(request.policy.service)
+        hop_frames.write(self.stream, answer)
 
-    def _adopt(self, ask: hop_frames.RequestFrame) -> messages.Request:
-        """Return the request as one of this process.
+    def _localise(self, frame: hop_frames.RequestFrame) -> messages.Request:
+        """Return the request with this process's keys and times.
 
-        Its age and its proof count from its arrival here: later than where
-        it came in, so what it sees is rather newer than it has to be.
+        Its age, and the leadership proof that it needs, count from its
+        arrival here, which is later than its arrival at the sending proxy: it
+        may read newer data than it has to.
         """
-        theirs = ask.request.transaction
+        peer_transaction = frame.request.transaction
         transaction = 0
-        if theirs:
-            service = ask.request.policy.service
-            known = self.transactions.get(theirs)
-            transaction = known[0] if known else self.host.next_key()
-            self.transactions[theirs] = (transaction, service)
+        if peer_transaction:
+            service = frame.request.policy.service
+            own = self.transactions.get(peer_transaction)
+            transaction = own[0] if own else self.host.next_key()
+            self.transactions[peer_transaction] = (transaction, service)
         policy = dataclasses.replace(
-            ask.request.policy, timeout_ms=max(0, ask.left_ms)
+            frame.request.policy, timeout_ms=max(0, frame.left_ms)
         )
         return dataclasses.replace(
-            ask.request,
+            frame.request,
             key=self.host.next_key(),
             policy=policy,
             arrived_ms=clock.suspended_ms(),
             transaction=transaction,
         )
 
-    def _withdraw(self, theirs: int) -> None:
-        known = self.transactions.pop(theirs, None)
-        if known is not None:
-            self.host.withdraw_locally(known[1], known[0])
+    def _withdraw(self, peer_transaction: int) -> None:
+        own = self.transactions.pop(peer_transaction, None)
+        if own is not None:
+            self.host.withdraw_locally(own[1], own[0])
 
-    def undo(self) -> None:
-        """Undo all that its end leaves open."""
-        for theirs in list(self.transactions):
-            self._withdraw(theirs)
+    def withdraw_all(self) -> None:
+        """Abort all transactions that the peer left open."""
+        for peer_transaction in list(self.transactions):
+            self._withdraw(peer_transaction)
--- a/topazring/pooler/membership.py
+++ b/topazring/pooler/membership.py
@@ -1,4 +1,4 @@
-"""Keep this proxy listed while it lives, so that others know their share."""
+"""Keep this proxy listed while it runs, so that others compute their share."""
 
 import asyncio
 
@@ -10,13 +10,13 @@
 
 __all__ = ['Membership']
 
-# A proxy that died counts for so long; meanwhile the others use a little
-# less than they could. A renewal is a call, so it is rare.
+# A dead proxy is counted for this long; meanwhile the others use slightly less
+# than they could. Renewals are calls that are paid for, so they are rare.
 TTL_MS = 30_000
 RENEW_INTERVAL_S = 10.0
 RETRY_S = 1.0
-# The directory is read in some ten ms. With it a proxy that comes back knows
-# its predecessor's entry, and needs two calls less to replace it.
+# The directory's first read takes some ten milliseconds. After it a restarted
+# proxy has its predecessor's entry and needs two calls less to replace it.
 FIRST_READ_TIMEOUT_S = 0.3
 
 
@@ -40,11 +40,11 @@
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to be listed."""
+        """Start listing this proxy."""
         self.task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Be listed no more."""
+        """Remove this proxy from the list."""
         if self.task is not None:
             self.task.cancel()
         lease, self.lease = self.lease, 0
@@ -56,25 +56,27 @@
             async with asyncio.timeout(FIRST_READ_TIMEOUT_S):
                 await self.directory.first_read.wait()
         except TimeoutError:
-            self.log.emit('membership', 'enters before the first read')
+            self.log.emit(
+                'membership', 'registering before the first read of the store'
+            )
         while True:
             if not self.lease:
-                await self._enter()
+                await self._register()
             await asyncio.sleep(RENEW_INTERVAL_S if self.lease else RETRY_S)
             if self.lease:
                 answer = await self.store.keep(self.lease)
                 if isinstance(answer, key_value.Missing):
                     self.lease = 0
 
-    async def _enter(self) -> None:
+    async def _register(self) -> None:
         leased = await self.store.lease(TTL_MS)
         if not isinstance(leased, key_value.Leased):
             return
-        before = self.directory.own_value(self.key)
-        revision = before.revision if before else 0
+        previous = self.directory.own_value(self.key)
+        revision = previous.revision if previous else 0
         written = await self._write(leased.lease, revision)
         if isinstance(written, key_value.Conflict):
-            # A predecessor of the same name was listed, or lapsed, since.
+            # A predecessor's entry was listed, or it expired, since the read.
             answer = await self.store.get(self.key)
             if isinstance(answer, key_value.Found):
                 written = await self._write(leased.lease, answer.revision)
--- a/topazring/pooler/metrics.py
+++ b/topazring/pooler/metrics.py
@@ -1,4 +1,4 @@
-"""Count answers by outcome and reason, and record how long they took."""
+"""Count answers by outcome and reason, and record latencies."""
 
 import collections
 import collections.abc
@@ -25,17 +25,17 @@
         self.latency: dict[str, histogram.HdrHistogram] = {}
 
     def note(self, kind: str, outcome: outcomes.Outcome, took_ms: int) -> None:
-        """Count an answer and how long it took."""
+        """Record an outcome and its latency."""
         name = type(outcome).__name__.lower()
         reason = str(getattr(outcome, 'reason', ''))
         self.answers[(kind, name, reason)] += 1
-        recorded = self.latency.get(kind)
-        if recorded is None:
-            recorded = histogram.HdrHistogram(
+        latencies = self.latency.get(kind)
+        if latencies is None:
+            latencies = histogram.HdrHistogram(
                 1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
             )
-            self.latency[kind] = recorded
-        recorded.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
+            self.latency[kind] = latencies
+        latencies.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
 
     def render(
         self,
@@ -44,25 +44,25 @@
     ) -> bytes:
         """Return all metrics in the Prometheus text format.
 
-        Every reason stands there from the start, so that a counter shows
-        before it first counts.
+        Every reason is present from the start, so that a counter exists
+        before its first event.
         """
         lines = []
         for (kind, name, reason), count in sorted(self.answers.items()):
             labels = f'kind="{kind}",outcome="{name}",reason="{reason}"'
             lines.append(f'topazring_answers_total{{{labels}}} {count}')
-        for kind, recorded in sorted(self.latency.items()):
+        for kind, latencies in sorted(self.latency.items()):
             for quantile in QUANTILES:
-                value = recorded.get_value_at_percentile(quantile)
+                value = latencies.get_value_at_percentile(quantile)
                 labels = f'kind="{kind}",percentile="{quantile}"'
                 lines.append(
                     f'topazring_latency_milliseconds{{{labels}}} {value}'
                 )
-        seen = dict(counters)
+        group_counters = dict(counters)
         for reason in outcomes.Reason:
-            seen.setdefault(f'notrun_{reason}', 0)
-            seen.setdefault(f'retry_{reason}', 0)
-        for what, count in sorted(seen.items()):
+            group_counters.setdefault(f'notrun_{reason}', 0)
+            group_counters.setdefault(f'retry_{reason}', 0)
+        for what, count in sorted(group_counters.items()):
             lines.append(
                 f'topazring_group_events_total{{what="{what}"}} {count}'
             )
--- a/topazring/pooler/peers.py
+++ b/topazring/pooler/peers.py
@@ -1,12 +1,12 @@
-"""Learn from other proxies what changed at the platform's service.
+"""Exchange changes of the platform's store between proxies.
 
-Most proxies hear from a follower what changes there. And the service may turn
-some proxies away while it serves others, and a proxy that starts while it is
-away knows nothing at all. Peers tell what they read there: all that changed
-after a revision, or everything if they cannot know what ended.
+Most proxies read changes from a follower. Also, the store may refuse some
+proxies while it serves others, and a proxy that starts while the store is
+unavailable has no data at all. Peers return what they have read: all changes
+after a revision, or everything if they cannot tell which entries ended.
 
-Plain HTTP: a peer is asked every second or two, and a messaging library would
-stay in memory all the time.
+The transport is plain HTTP: a peer is asked every second or two, and a
+messaging library would stay in memory all the time.
 """
 
 import asyncio
@@ -26,32 +26,32 @@
 
 PATH = '/changes'
 ASK_TIMEOUT_S = 0.4
-# No change has to be in force later than some seconds after it was made.
+# A change has to be in force within some seconds; no wait has to be longer.
 MAX_WAIT_MS = 30_000
-# A follower's link carries each change once a hearer. A configuration of
-# 1,400 databases is 0.25 MB: twelve of these take a link of 5 Mbit/s for 4.7
-# of the five seconds in which it has to be in force, and what the follower
-# serves waits behind them. Packed it is a seventh of that, 0.7 s.
+# A follower's link carries each change once per reader. A configuration of
+# 1,400 databases is 0.25 MB: twelve copies take a link of 5 Mbit/s for 4.7 of
+# the five seconds within which it has to be in force, and other traffic of the
+# follower is queued behind them. Compressed it is a seventh of that, 0.7 s.
 COMPRESSION_LEVEL = 1
-# An answer with much to tell may come so much later than it was to wait.
+# A long answer may arrive later than its wait by this share of the wait.
 WAIT_SLACK_SHARE = 0.5
 
 
 class PeerAnswer(msgspec.Struct):
-    """Hold what a peer knows."""
+    """Changes that a peer has read."""
 
     revision: int
-    # Everything there is, not only what changed.
+    # A full copy of the store, not only changes.
     complete: bool
     changes: list[revisions.Change]
-    # The teller reads the service itself, and not what others tell.
+    # The peer reads the store itself, not another proxy.
     follows: bool = False
-    # How long ago the service last answered it.
+    # Time since the store last answered the peer.
     age_ms: int = 0
 
 
-class _Packed(msgspec.Struct, array_like=True):
-    """Carry what is told between two proxies."""
+class _EncodedAnswer(msgspec.Struct, array_like=True):
+    """Encoded form of a PeerAnswer."""
 
     revision: int
     complete: bool
@@ -62,13 +62,13 @@
 
 
 def compress_changes(changes: list[revisions.Change]) -> bytes:
-    """Return changes as they go out."""
+    """Return changes as compressed JSON."""
     return zlib.compress(msgspec.json.encode(changes), COMPRESSION_LEVEL)
 
 
-def _unpack(body: bytes) -> PeerAnswer:
-    """Return what was told; MsgspecError or zlib.error if it is no such."""
-    packed = msgspec.msgpack.decode(body, type=_Packed)
+def _decode(body: bytes) -> PeerAnswer:
+    """Return the decoded answer; raise MsgspecError or zlib.error if bad."""
+    packed = msgspec.msgpack.decode(body, type=_EncodedAnswer)
     changes = msgspec.json.decode(
         zlib.decompress(packed.changes), type=list[revisions.Change]
     )
@@ -87,19 +87,19 @@
 
 
 class Server:
-    """Answer peers."""
-
-    def __init__(self, tell: ReadChanges):
-        # Says what changed after a revision; waits that many ms for it.
-        self.read_changes = tell
-        self.server = httpserver.HTTPServer(self._take)
-        # What was last packed, and for which question and revision: most
-        # hearers stand at the same one.
-        self.packed = ((0, 0), compress_changes([]))
+    """Answer requests of peers."""
+
+    def __init__(self, read_changes: ReadChanges):
+        # Returns the changes after a revision; waits up to so many ms.
+        self.read_changes = read_changes
+        self.server = httpserver.HTTPServer(self._handle_request)
+        # The last compressed changes, keyed by requested and current
+        # revision: most readers ask for the same revision.
+        self.compressed = ((0, 0), compress_changes([]))
         self.tasks: set[asyncio.Task] = set()
 
     def start(self, address: str) -> None:
-        """Listen."""
+        """Listen on an address."""
         endpoint = settings.endpoint(address)
         self.server.listen(endpoint.port, endpoint.host)
 
@@ -109,7 +109,7 @@
         for task in list(self.tasks):
             task.cancel()
 
-    def _take(self, request: httputil.HTTPServerRequest) -> None:
+    def _handle_request(self, request: httputil.HTTPServerRequest) -> None:
         task = asyncio.create_task(self._answer(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -119,33 +119,33 @@
         after = request.arguments.get('after', [b'0'])[0]
         wait_ms = request.arguments.get('wait_ms', [b'0'])[0]
         if request.path == PATH and after.isdigit() and wait_ms.isdigit():
-            told = await self.read_changes(
+            answer = await self.read_changes(
                 int(after), min(int(wait_ms), MAX_WAIT_MS)
             )
-            code, body = 200, self._pack(int(after), told)
+            code, body = 200, self._encode(int(after), answer)
         http_calls.answer(request, code, body)
 
-    def _pack(self, after: int, told: PeerAnswer) -> bytes:
-        question = (after, told.revision)
-        if self.packed[0] != question:
-            self.packed = (question, compress_changes(told.changes))
+    def _encode(self, after: int, answer: PeerAnswer) -> bytes:
+        cache_key = (after, answer.revision)
+        if self.compressed[0] != cache_key:
+            self.compressed = (cache_key, compress_changes(answer.changes))
         return msgspec.msgpack.encode(
-            _Packed(
-                told.revision,
-                told.complete,
-                told.follows,
-                told.age_ms,
-                self.packed[1],
+            _EncodedAnswer(
+                answer.revision,
+                answer.complete,
+                answer.follows,
+                answer.age_ms,
+                self.compressed[1],
             )
         )
 
 
 class PeerClient:
-    """Ask peers what they know."""
+    """Request changes from peers."""
 
     def __init__(self, seeds: tuple[str, ...], own_address: str):
         self.seeds = seeds
-        # It may be among the seeds, and is in the list.
+        # Excluded: it may be among the seeds, and it is listed.
         self.own_address = own_address
         self.client = http_calls.make_client()
 
@@ -154,16 +154,16 @@
         self.client.close()
 
     def choose_peers(self, addresses: set[str], count: int) -> list[str]:
-        """Return some peers to ask, others each time."""
-        known = sorted((addresses | set(self.seeds)) - {self.own_address})
-        return random.sample(known, min(count, len(known)))
+        """Return some peers, chosen at random each time."""
+        candidates = sorted((addresses | set(self.seeds)) - {self.own_address})
+        return random.sample(candidates, min(count, len(candidates)))
 
     async def fetch_changes(
         self, address: str, after: int, wait_ms: int = 0
     ) -> PeerAnswer | None:
-        """Return what a peer knows after a revision, None if it is silent.
+        """Return a peer's changes after a revision, None without an answer.
 
-        One that knows nothing newer waits that long for it.
+        A peer that has nothing newer waits up to `wait_ms` for it.
         """
         url = f'http://{address}{PATH}?after={after}&wait_ms={wait_ms}'
         timeout_s = max(ASK_TIMEOUT_S, wait_ms / 1000 * (1 + WAIT_SLACK_SHARE))
@@ -173,7 +173,7 @@
         if isinstance(reply, http_calls.NoAnswer) or reply.code != 200:
             return None
         try:
-            return _unpack(reply.body)
+            return _decode(reply.body)
         except (msgspec.MsgspecError, zlib.error):
-            # Not a proxy of ours: its address may belong to another by now.
+            # Not a proxy: the address may belong to another process by now.
             return None
--- a/topazring/pooler/ports.py
+++ b/topazring/pooler/ports.py
@@ -1,7 +1,7 @@
-"""Say what an adapter provides: codecs, orders, and typed records.
+"""Define the interfaces of an adapter: codecs, orders and typed records.
 
-The pooler knows sessions, groups and records; what they look like on a wire
-is the adapter's matter.
+The pooler works on sessions, groups and records; the adapter defines their
+wire formats.
 """
 
 import dataclasses
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartSession:
-    """Begin a session on a database."""
+    """Start a session on a database."""
 
     database: str
 
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Report input that is no message; `fatal` leaves no way to go on."""
+    """Malformed input; after a `fatal` fault the input cannot be parsed on."""
 
     reason: outcomes.Reason
     detail: str
@@ -52,57 +52,57 @@
 
 
 class CallerReader(typing.Protocol):
-    """Split what one caller sends into messages, whatever the pieces."""
+    """Split one caller's bytes into messages; chunks may end anywhere."""
 
     def feed(self, data: bytes) -> list[CallerItem]:
         """Return the messages that are complete now."""
 
 
 class CallerCodec(typing.Protocol):
-    """Speak with callers."""
+    """Encode and decode the callers' protocol."""
 
     def reader(self, message_bytes: int) -> CallerReader:
-        """Return a reader; longer messages are faults."""
+        """Return a reader; it reports longer messages as faults."""
 
     def greeting(self) -> bytes:
-        """Return the answer to a session's start."""
+        """Return the answer to the start of a session."""
 
     def refusal(self, outcome: outcomes.Outcome) -> bytes:
-        """Return the answer to a session that is refused."""
+        """Return the answer that refuses a session."""
 
     def answer(
         self, outcome: outcomes.Outcome, state: statements.SessionState
     ) -> bytes:
-        """Return the answer to a statement and the session's state."""
+        """Return the answer to a statement, with the session's state."""
 
 
 class ReplyReader(typing.Protocol):
-    """Split what an upstream sends into replies."""
+    """Split one upstream's bytes into replies."""
 
     def feed(self, data: bytes) -> list[statements.Reply]:
-        """Return complete replies; ValueError if it is no reply."""
+        """Return complete replies; raise ValueError on malformed input."""
 
 
 class UpstreamCodec(typing.Protocol):
-    """Speak with upstreams."""
+    """Encode and decode the upstreams' protocol."""
 
     def hello(self, service: str, upstream: str) -> bytes:
-        """Return what opens a connection; one reply follows."""
+        """Return the bytes that open a connection; one reply follows."""
 
     def encode(self, commands: tuple[statements.Command, ...]) -> bytes:
-        """Return commands as they go out; one reply a command follows."""
+        """Return encoded commands; one reply for each follows."""
 
     def reader(self) -> ReplyReader:
-        """Return a reader of one connection's replies."""
+        """Return a reader for the replies of one connection."""
 
 
 class Orders(typing.Protocol):
-    """Give the platform orders that need the duty."""
+    """Send the platform orders that require the promotion lease."""
 
     async def promote(
         self, service: str, upstream: str, holder: str, token: int
     ) -> messages.OrderResult:
-        """Have an upstream promoted."""
+        """Order the promotion of an upstream."""
 
     def close(self) -> None:
         """Close the connections."""
@@ -110,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapter:
-    """Hold all that an adapter provides."""
+    """Everything that an adapter provides."""
 
     callers: CallerCodec
     upstreams: UpstreamCodec
@@ -118,5 +118,5 @@
     orders: Orders
     # Decodes one of the platform's own entries: key, value, revision.
     decode: typing.Callable[[str, str, int], listing.Record | None]
-    # Where the balancer asks whether to send callers here.
+    # Path on which the load balancer probes whether to send callers here.
     ready_path: str
--- a/topazring/pooler/probes.py
+++ b/topazring/pooler/probes.py
@@ -1,4 +1,4 @@
-"""Answer the balancer, and whoever reads the metrics."""
+"""Serve the load balancer's readiness probe and the metrics."""
 
 import collections.abc
 import dataclasses
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Hold an answer: its HTTP status and its text."""
+    """HTTP status and body of an answer."""
 
     code: int
     body: bytes = b''
 
 
 class Server:
-    """Answer at one address whether to send callers here, and the metrics."""
+    """Serve the readiness probe and the metrics at one address."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.server = httpserver.HTTPServer(self._answer)
 
     def start(self, address: str) -> None:
-        """Listen."""
+        """Listen on an address."""
         endpoint = settings.endpoint(address)
         self.server.listen(endpoint.port, endpoint.host)
 
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -1,4 +1,4 @@
-"""Put a pooling proxy's parts together; start and end them in order."""
+"""Assemble the parts of a pooling proxy; start and stop them in order."""
 
 import asyncio
 import collections
@@ -35,12 +35,12 @@
 
 __all__ = ['Pooler', 'serve']
 
-# A caller waits two seconds for its session; another proxy may have it in
-# less than that.
+# A caller waits two seconds for its session; another proxy may be able to
+# start it in less than that.
 CONFIGURED_S = 0.4
-# The store answers in milliseconds; what it does not, a lease's end does.
+# The store answers in milliseconds. If it does not, the lease expires.
 CLOSE_S = 0.25
-# Longer messages are refused; the upstreams' own limit is the same.
+# Longer messages are refused; the upstreams have the same limit.
 MESSAGE_BYTES = 1 << 20
 
 
@@ -57,25 +57,25 @@
         self.log = events.EventLog(config.name)
         self.metrics = metric_sets.Metrics()
         self.shutdown_phase = caller_task.ShutdownPhase.RUNNING
-        # When this process ends; None while it stays.
+        # When this process exits; None until it shuts down.
         self.exit_deadline_ms: int | None = None
         self.groups: dict[str, group_task.GroupTask] = {}
         self.keys = itertools.count(1)
         self.holds = False
         self.token = 0
-        asker = peers.PeerClient(config.peers, config.peer_address or '')
+        peer_client = peers.PeerClient(config.peers, config.peer_address or '')
         self.directory = directories.Directory(
             adapter,
-            asker,
+            peer_client,
             follower_client.FollowerClient(
                 config.name,
                 config.data_centre,
-                asker,
+                peer_client,
                 self.log,
                 config.config_apply_ms,
             ),
             self.log,
-            self._changed,
+            self._apply_listing_changes,
         )
         self.membership = membership.Membership(
             config.name,
@@ -94,7 +94,7 @@
             adapter.store,
             self.directory,
             self.log,
-            self._duty_told,
+            self._handle_lease_change,
         )
         self.router = router.Router(
             config.name, config.data_centre, self, self.log
@@ -106,7 +106,7 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin to learn."""
+        """Start all parts and listen."""
         self.log.start()
         self.log.emit(
             'process',
@@ -142,15 +142,17 @@
         )
 
     def withdraw(self, service: str, transaction: int) -> None:
-        """Undo a transaction, wherever it was begun."""
+        """Abort a transaction, wherever it was begun."""
         self.router.withdraw(service, transaction)
 
     async def serve_locally(
         self, request: messages.Request
     ) -> outcomes.Outcome:
-        """Serve a request without asking another proxy."""
-        last = self.shutdown_phase is caller_task.ShutdownPhase.REFUSE_NEW
-        if last and not request.continues_transaction:
+        """Serve a request in this process."""
+        refuses_new = (
+            self.shutdown_phase is caller_task.ShutdownPhase.REFUSE_NEW
+        )
+        if refuses_new and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         group = self.groups.get(request.policy.service)
         if group is None:
@@ -160,43 +162,43 @@
     async def serve_for_peer(
         self, request: messages.Request
     ) -> outcomes.Outcome:
-        """Serve another proxy's request, without asking a third.
+        """Serve another proxy's request, without forwarding it again.
 
-        Nothing new is begun for others once this process leaves: they have
-        other owners, and it has its own callers to let go.
+        A process that shuts down begins nothing new for other proxies: they
+        have other owners, and it has to finish its own callers' sessions.
         """
         if self.is_shutting_down and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         return await self.serve_locally(request)
 
     def queued_locally(self, service: str) -> int:
-        """Return how many requests wait here for a service."""
+        """Return how many requests are queued here for a service."""
         group = self.groups.get(service)
         return 0 if group is None else request_queues.count(group.state)
 
     def withdraw_locally(self, service: str, transaction: int) -> None:
-        """Undo a transaction that was begun here."""
+        """Abort a transaction that was begun in this process."""
         group = self.groups.get(service)
         if group is not None:
             group.post(messages.Withdraw(transaction))
 
     def next_key(self) -> int:
-        """Return a number that names a session, request or transaction."""
+        """Return a unique number for a session, request or transaction."""
         return next(self.keys)
 
     def message_bytes(self) -> int:
-        """Return how long a caller's message may be."""
+        """Return the maximum length of a caller's message."""
         return MESSAGE_BYTES
 
     def configured(self) -> bool:
-        """Say whether any configuration is known."""
+        """Return whether any configuration has been read."""
         return self.directory.configured.is_set()
 
     async def wait_configured(self) -> bool:
-        """Wait for the first configuration, unless it cannot be had.
+        """Wait briefly for the first configuration; return whether it is set.
 
-        Callers come within milliseconds of the start, and the first answer
-        of the store is as near.
+        Callers connect within milliseconds of the start, and the store's
+        first answer takes about as long.
         """
         try:
             async with asyncio.timeout(CONFIGURED_S):
@@ -206,12 +208,12 @@
         return True
 
     def note(self, kind: str, outcome: outcomes.Outcome, ms: int) -> None:
-        """Count an answer and how long it took."""
+        """Record an outcome and its latency."""
         self.metrics.note(kind, outcome, ms)
 
-    # ---- what is learned ----
+    # ---- changes of the listing and the promotion lease ----
 
-    def _changed(self, services: set[str]) -> None:
+    def _apply_listing_changes(self, services: set[str]) -> None:
         listing = self.directory.listing
         now_ms = clock.suspended_ms()
         configuration = listing.configuration
@@ -262,13 +264,13 @@
         if group is not None:
             group.close()
 
-    def _duty_told(self, holds: bool, token: int) -> None:
+    def _handle_lease_change(self, holds: bool, token: int) -> None:
         self.holds = holds
         self.token = token
         for group in self.groups.values():
             group.post(messages.PromotionLeaseSeen(holds, token))
 
-    # ---- the balancer and operators ----
+    # ---- load balancer and operators ----
 
     @property
     def callers(self) -> set[caller_task.CallerTask]:
@@ -277,11 +279,11 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Say whether this process has been told to stop."""
+        """Return whether this process has been asked to stop."""
         return self.exit_deadline_ms is not None
 
     def ready(self) -> bool:
-        """Say whether callers should be sent here."""
+        """Return whether callers should be sent here."""
         return self.configured() and not self.is_shutting_down
 
     def _counters(self) -> collections.Counter[str]:
@@ -302,14 +304,14 @@
             },
         )
 
-    # ---- the end ----
+    # ---- shutdown ----
 
     def reload(self) -> None:
-        """Take note of changed settings.
+        """Log that settings may have changed.
 
-        Addresses and the data centre hold for a process's life, and what
-        may change comes through the platform's service. So nothing is read
-        anew; the next start takes the file as it is then.
+        Addresses and the data centre are fixed for the life of a process, and
+        what may change comes through the platform's store. So the file is not
+        read again; the next start uses it as it is then.
         """
         self.log.emit('process', 'reload', inputs={'changed': False})
 
@@ -338,7 +340,7 @@
             'stop',
             inputs={
                 'sessions': len(self.callers),
-                # How many reads of each kind replicas have served.
+                # Reads of each kind that replicas have served.
                 **reads,
                 'peak_kb': resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
             },
@@ -349,21 +351,23 @@
 async def serve(
     config: settings.PoolerSettings, adapter: ports.Adapter
 ) -> None:
-    """Run until told to stop; a second signal ends at once."""
+    """Run until a signal to stop; a second signal exits at once."""
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     pooler = Pooler(config, adapter)
     loop.add_signal_handler(signal.SIGHUP, pooler.reload)
     await pooler.start()
-    # What was imported stays; collecting it again and again costs time.
+    # Imported objects stay for good; collecting them repeatedly costs time.
     gc.freeze()
-    await told.wait()
-    told.clear()
+    await stop_requested.wait()
+    stop_requested.clear()
     draining = asyncio.create_task(shutdown.drain(pooler))
-    again = asyncio.create_task(told.wait())
-    await asyncio.wait({draining, again}, return_when=asyncio.FIRST_COMPLETED)
+    second_signal = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait(
+        {draining, second_signal}, return_when=asyncio.FIRST_COMPLETED
+    )
     draining.cancel()
-    again.cancel()
+    second_signal.cancel()
     await pooler.close()
--- a/topazring/pooler/promotion_lease.py
+++ b/topazring/pooler/promotion_lease.py
@@ -1,10 +1,10 @@
-"""Hold, as one of all proxies, the duty to promote.
+"""Hold the promotion lease: one proxy of all may order promotions.
 
-A value under a lease names the holder. With it comes a block of tokens: each
-order that means something else takes the next one, so that an order that
-arrives late is outdone by a newer, and no call is needed at the moment of a
-loss. The blocks are counted in a value without a lease: a later holder's
-tokens are always higher.
+A value in the store, written under a store lease, names the holder. Acquiring
+it reserves a block of tokens. Each order with a new meaning takes the next
+token, so the platform can discard an order that arrives late, and no call to
+the store is needed when a primary is lost. The last block is recorded in a
+value without a lease: the tokens of a later holder are always higher.
 """
 
 import asyncio
@@ -23,50 +23,52 @@
 
 LEASE_KEY = directories.OWN_PREFIX + 'duty'
 TOKEN_BLOCK_KEY = directories.OWN_PREFIX + 'block'
-# Orders that one holder can tell apart in its time; a promotion takes one,
-# so thousands of promotions fit.
+# Tokens that one holder can use. A promotion takes one, so a block is enough
+# for thousands of promotions.
 BLOCK_TOKENS = 10_000
-# Until the lease of a holder that died has ended nobody can be promoted. It
-# has to outlast one renewal that is swallowed: two periods, and the time that
-# one waits for its answer. On a replayed day a lost holder was followed 3.0 s
-# later; with a lease of 3 s, 4.2 s later.
+# Nobody can be promoted until the lease of a dead holder has ended. The lease
+# has to outlast one renewal that gets no answer: two renewal intervals and
+# the timeout of that call. In a replayed day a lost holder was replaced after
+# 3.0 s; with a lease of 3 s, after 4.2 s.
 TTL_MS = 2000
 RENEW_INTERVAL_S = 0.6
-# While the service is away nobody else can take the duty, and the holder
-# goes on. If it is this instance alone that is turned away, another takes
-# over with higher tokens, and peers tell; past this it stops in any case.
+# While the store is unavailable to all, nobody else can acquire the lease, and
+# the holder continues. If the store refuses only this instance, another proxy
+# takes over with higher tokens, and peers report it. After this time beyond
+# its lease the holder stops in any case.
 MAX_HOLD_BEYOND_LEASE_MS = 15_000
-# All see at the same time that the duty is free.
+# All proxies see at the same time that the lease is free.
 JITTER_S = 0.15
-# A fleet that starts does, and its proxies do not know each other yet. The
-# first of eight is there after a tenth of a second, of two hundred at once.
+# All proxies of a fleet that starts together see a free lease too, before
+# they have read about each other. With this jitter the first attempt comes
+# after a tenth of a second among eight proxies, at once among two hundred.
 STARTUP_JITTER_S = 1.0
-# Who only hears what changes leaves the duty to those that follow the
-# service: of a large fleet hundreds would write for it at once.
+# A proxy that reads changes from a follower leaves the lease to proxies that
+# read the store: in a large fleet hundreds would write to the store at once.
 NON_FOLLOWER_DELAY_S = 1.0
 RETRY_S = 0.5
-# Right before an order the holder asks for so long whether it still holds the
-# duty. The store and peers answer in milliseconds; each 100 ms more keep a
-# group without a primary for as long.
+# How long the holder checks, right before an order, that it still holds the
+# lease. The store and peers answer in milliseconds; each additional 100 ms
+# keeps a group without a primary for as long.
 ORDER_CHECK_TIMEOUT_S = 0.25
-# Partitions last for seconds; if all others are as badly off, this one tries
-# again after that.
+# Pause after yielding. Partitions last for seconds; if all other proxies are
+# affected too, this one tries again after that.
 YIELD_PAUSE_MS = 3000
 
 
 class _Holder(msgspec.Struct):
-    """Hold what the duty's value says."""
+    """Value of the lease key."""
 
     holder: str
     token: int
 
 
-# What reading the duty's value gives; a value that names nobody is missing.
-_HolderRead = _Holder | key_value.Missing | key_value.Unavailable
+# Result of reading the lease key; a value without a holder counts as missing.
+_HolderResult = _Holder | key_value.Missing | key_value.Unavailable
 
 
 class PromotionLease:
-    """Take, keep and give back the duty."""
+    """Acquire, renew and release the promotion lease."""
 
     def __init__(
         self,
@@ -74,87 +76,88 @@
         store: key_value.Store,
         directory: directories.Directory,
         log: events.EventLog,
-        told: collections.abc.Callable[[bool, int], None],
+        on_change: collections.abc.Callable[[bool, int], None],
     ):
         self.incarnation = incarnation
         self.store = store
         self.directory = directory
         self.log = log
-        self.told = told
+        self.on_change = on_change
         self.holds = False
         self.token = 0
         self.lease = 0
         self.valid_until_ms = 0
-        self.doubted = asyncio.Event()
+        self.recheck_requested = asyncio.Event()
         self.yielded_ms = -YIELD_PAUSE_MS
         self.jitter_s = STARTUP_JITTER_S
-        self.ending: asyncio.Task | None = None
+        self.ending_task: asyncio.Task | None = None
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to try for the duty."""
+        """Start trying to acquire the lease."""
         self.task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Give the duty back."""
+        """Release the lease."""
         if self.task is not None:
             self.task.cancel()
         lease, self.lease = self.lease, 0
         if self.holds:
-            self._lose('leaves')
+            self._record_lost('leaves')
         if lease:
             await self.store.end(lease)
 
     def request_recheck(self) -> None:
-        """Ask the service again: an order was refused."""
-        self.doubted.set()
+        """Request a check with the store, as after a refused order."""
+        self.recheck_requested.set()
 
     def yield_lease(self, why: str) -> None:
-        """Give the duty up, and leave it to others for a while."""
+        """Release the lease and leave it to other proxies for a while."""
         if not self.holds:
             return
         self.yielded_ms = clock.suspended_ms()
         lease, self.lease = self.lease, 0
-        self._lose(why)
+        self._record_lost(why)
         if lease:
-            self.ending = asyncio.create_task(self.store.end(lease))
+            self.ending_task = asyncio.create_task(self.store.end(lease))
 
     async def verify_holder(self) -> bool:
-        """Make sure, right before an order, that the duty is still ours.
-
-        The platform may carry out whatever it is told, also by a holder that
-        was overtaken: frozen, cut off, or turned away by the store while its
-        lease was given to another. One would notice by an order with a lower
-        token than one that went before, which undoes the successor's choice.
-        While the store does not answer a peer has to say that it knows of no
-        successor: who reaches neither is cut off.
+        """Return whether this process still holds the lease.
+
+        Called right before an order, because the platform may carry out any
+        order, also one of a replaced holder: a process that was paused,
+        partitioned, or refused by the store while its lease went to another.
+        Such a holder would send an order with a lower token than an earlier
+        one, which reverts its successor's choice. While the store does not
+        answer, a peer has to confirm that it has seen no successor; a holder
+        that reaches neither assumes that it is partitioned.
         """
         if not self.holds:
             return False
         if self.directory.unavailable_since_ms is None:
-            answer = await self._check_holder()
+            answer = await self._read_holder_in_time()
             if isinstance(answer, _Holder):
-                return self._is_ours(answer)
+                return self._is_own_lease(answer)
             if isinstance(answer, key_value.Missing):
                 self._give_up('the duty has no holder')
                 return False
         if not await self.directory.ask_peers(ORDER_CHECK_TIMEOUT_S):
             self._give_up('neither store nor peers answer')
             return False
-        successor = self._successor()
+        successor = self._find_successor()
         if successor:
             self._give_up(f'{successor} holds it')
         return self.holds
 
-    async def _check_holder(self) -> _HolderRead:
-        """Read who holds the duty in the time that an order has for it."""
+    async def _read_holder_in_time(self) -> _HolderResult:
+        """Read the holder within the time limit of the check."""
         try:
             async with asyncio.timeout(ORDER_CHECK_TIMEOUT_S):
                 return await self._read_holder()
         except TimeoutError:
             return key_value.Unavailable('no answer in time')
 
-    async def _read_holder(self) -> _HolderRead:
+    async def _read_holder(self) -> _HolderResult:
         answer = await self.store.get(LEASE_KEY)
         if isinstance(answer, key_value.Found):
             found = self._decode(answer.value)
@@ -162,15 +165,15 @@
         return answer
 
     def _decode(self, text: str) -> _Holder | None:
-        """Return who holds the duty, None if somebody else wrote the value."""
+        """Return the holder, None if the value has another format."""
         try:
             return msgspec.json.decode(text, type=_Holder)
         except msgspec.MsgspecError as error:
             self.log.emit('duty', 'bad entry', inputs={'error': str(error)})
             return None
 
-    def _is_ours(self, found: _Holder) -> bool:
-        """Say whether a holder is this process; if not, it is overtaken."""
+    def _is_own_lease(self, found: _Holder) -> bool:
+        """Return whether this process is the holder; if not, stop holding."""
         if found.holder == self.incarnation:
             return self.holds
         self._give_up(f'{found.holder} holds it')
@@ -179,33 +182,33 @@
     def _give_up(self, why: str) -> None:
         self.lease = 0
         if self.holds:
-            self._lose(why)
+            self._record_lost(why)
 
     async def _run(self) -> None:
         while True:
             if self.holds:
-                await self._keep()
+                await self._renew()
             elif self._is_free():
-                await self._try()
+                await self._try_acquire()
             else:
-                await self._changed()
+                await self._wait_for_change()
 
     def _is_free(self) -> bool:
         if clock.suspended_ms() - self.yielded_ms < YIELD_PAUSE_MS:
             return False
-        known = self.directory.known.seen > 0
-        return known and self.directory.own_value(LEASE_KEY) is None
+        has_read = self.directory.known.seen > 0
+        return has_read and self.directory.own_value(LEASE_KEY) is None
 
-    async def _changed(self) -> None:
+    async def _wait_for_change(self) -> None:
         self.directory.own_changed.clear()
         try:
             async with asyncio.timeout(RETRY_S):
                 await self.directory.own_changed.wait()
         except TimeoutError:
-            # Looked at again in any case: the event may have been missed.
+            # Check again in any case: the event may have been missed.
             return
 
-    async def _try(self) -> None:
+    async def _try_acquire(self) -> None:
         pause_s = random.uniform(0, self.jitter_s)
         self.jitter_s = JITTER_S
         if not self.directory.follows:
@@ -213,13 +216,13 @@
         await asyncio.sleep(pause_s)
         if not self._is_free():
             return
-        asked_ms = clock.suspended_ms()
+        sent_ms = clock.suspended_ms()
         leased = await self.store.lease(TTL_MS)
         if not isinstance(leased, key_value.Leased):
             await asyncio.sleep(RETRY_S)
             return
-        # Never one of an earlier try: it would end before its first renewal,
-        # and the duty with it.
+        # Use a new store lease: one from an earlier attempt would end before
+        # its first renewal, and the promotion lease with it.
         self.lease = leased.lease
         block = self.directory.own_value(TOKEN_BLOCK_KEY)
         token = _next_block(block)
@@ -234,45 +237,45 @@
             )
         )
         if isinstance(answer, key_value.Written):
-            self._gain(token, asked_ms)
+            self._record_acquired(token, sent_ms)
             return
         if isinstance(answer, key_value.Unavailable):
-            await self._look(asked_ms)
+            await self._resolve_write(sent_ms)
         await asyncio.sleep(JITTER_S)
 
-    async def _look(self, asked_ms: int) -> None:
-        """Find out whether a write without an answer took effect."""
+    async def _resolve_write(self, sent_ms: int) -> None:
+        """Determine whether a write without an answer took effect."""
         found = await self._read_holder()
         if isinstance(found, _Holder) and found.holder == self.incarnation:
-            self._gain(found.token, asked_ms)
+            self._record_acquired(found.token, sent_ms)
 
-    def _gain(self, token: int, asked_ms: int) -> None:
+    def _record_acquired(self, token: int, sent_ms: int) -> None:
         self.holds = True
         self.token = token
-        self.valid_until_ms = asked_ms + TTL_MS
+        self.valid_until_ms = sent_ms + TTL_MS
         self.log.emit('duty', 'duty gained', inputs={'token': token})
-        self.told(True, token)
+        self.on_change(True, token)
 
-    def _lose(self, why: str) -> None:
+    def _record_lost(self, why: str) -> None:
         self.holds = False
         self.log.emit(
             'duty', 'duty lost', inputs={'why': why, 'token': self.token}
         )
-        self.told(False, 0)
+        self.on_change(False, 0)
 
-    async def _keep(self) -> None:
-        if await self._is_doubted():
-            self.doubted.clear()
-            await self._confirm()
+    async def _renew(self) -> None:
+        if await self._wait_for_recheck():
+            self.recheck_requested.clear()
+            await self._recheck()
             return
-        successor = self._successor()
+        successor = self._find_successor()
         if successor:
             self._give_up(f'{successor} holds it')
             return
-        asked_ms = clock.suspended_ms()
+        sent_ms = clock.suspended_ms()
         answer = await self.store.keep(self.lease)
         if isinstance(answer, key_value.Leased):
-            self.valid_until_ms = asked_ms + TTL_MS
+            self.valid_until_ms = sent_ms + TTL_MS
         elif isinstance(answer, key_value.Missing):
             self._give_up('the lease has ended')
         elif (
@@ -281,37 +284,37 @@
         ):
             self._give_up('the service has been away for too long')
 
-    def _successor(self) -> str:
-        """Return who has taken the duty over, empty if nobody is known to.
+    def _find_successor(self) -> str:
+        """Return the proxy that has taken the lease over, empty if none has.
 
-        A holder that the service turns away learns it from its peers, who
-        still read there. Without that it acts beside its successor until it
-        is past its lease for long: its orders are refused, but it resumes
-        replicas that the other has paused.
+        A holder that the store refuses receives this from its peers, which
+        can still read the store. Otherwise it would act beside its successor
+        until MAX_HOLD_BEYOND_LEASE_MS: its orders are refused, but it resumes
+        replicas that the successor has paused.
         """
         change = self.directory.own_value(LEASE_KEY)
         if change is None:
             return ''
         found = self._decode(change.value)
-        newer = found is not None and found.token > self.token
-        return found.holder if newer else ''
+        is_newer = found is not None and found.token > self.token
+        return found.holder if is_newer else ''
 
-    async def _is_doubted(self) -> bool:
-        """Wait until the next renewal, or until the duty is in doubt."""
+    async def _wait_for_recheck(self) -> bool:
+        """Wait for the next renewal; return whether a recheck is requested."""
         try:
             async with asyncio.timeout(RENEW_INTERVAL_S):
-                return await self.doubted.wait()
+                return await self.recheck_requested.wait()
         except TimeoutError:
             return False
 
-    async def _confirm(self) -> None:
-        """Ask whether the duty is still ours after an order was refused."""
+    async def _recheck(self) -> None:
+        """Check that the lease is still held after an order was refused."""
         found = await self._read_holder()
         if isinstance(found, _Holder) and found.holder == self.incarnation:
-            self.told(True, self.token)
+            self.on_change(True, self.token)
             return
         if isinstance(found, key_value.Unavailable):
-            # Whether another holds it cannot be told, so do nothing.
+            # The holder is unknown, so stop holding.
             self.log.emit(
                 'duty', 'duty in doubt', inputs={'detail': found.detail}
             )
--- a/topazring/pooler/settings.py
+++ b/topazring/pooler/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of one pooling proxy."""
+"""Read and check the settings of one pooling proxy."""
 
 import msgspec
 
@@ -6,18 +6,18 @@
 
 
 class SettingsError(ValueError):
-    """Name the file and the fault, in one line."""
+    """Error in a settings file: its name and the fault, in one line."""
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """Say where something listens."""
+    """Address of a listener."""
 
     host: str
     port: int
 
 
 class PoolerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the settings of one process; unknown fields are ignored."""
+    """Settings of one process; unknown fields are ignored."""
 
     name: str
     data_centre: str
@@ -25,22 +25,23 @@
     caller_address: str
     ready_address: str
     store_address: str
-    # None where nothing takes orders.
+    # None if nothing accepts orders.
     orders_address: str | None = None
-    # Where other proxies ask this one, and whom it may ask at its start.
+    # Where other proxies ask this one for changes, and the peers that it may
+    # ask when it starts.
     peer_address: str | None = None
     peers: tuple[str, ...] = ()
-    # Where other proxies send this one requests that it can serve.
+    # Where other proxies send requests that this one can serve.
     hop_address: str | None = None
-    # Sockets and files that this process may have open.
+    # Descriptors that this process may have open.
     max_descriptors: int = 1024
-    # How long an upstream that leaves may still be given work.
+    # How long a leaving upstream may still be given work.
     upstream_drain_ms: int = 7000
     # How long after its acceptance a configuration has to be in force. A watch
-    # lasts as long: a swallowed one is then noticed in time, and a shorter one
-    # would cost every proxy more calls.
+    # lasts as long: a watch without an answer is then detected in time, and a
+    # shorter one would cost every proxy more calls.
     config_apply_ms: int = 3000
-    # From the signal to stop until the process is killed.
+    # Time from the stop signal until the process is killed.
     grace_s: float = 6.0
 
 
@@ -57,7 +58,7 @@
 
 
 def endpoint(address: str) -> Endpoint:
-    """Split `host:port`; raise SettingsError if it is none."""
+    """Split `host:port`; raise SettingsError if it is malformed."""
     host, colon, port = address.rpartition(':')
     if not colon or not port.isdecimal() or not 0 < int(port) < 65536:
         raise SettingsError(f'{address!r} is not host:port')
--- a/topazring/pooler/shutdown.py
+++ b/topazring/pooler/shutdown.py
@@ -1,4 +1,4 @@
-"""Leave: let callers go, finish what is under way, answer what is left."""
+"""Shut down: close sessions, finish requests in flight, answer the rest."""
 
 import asyncio
 import dataclasses
@@ -16,25 +16,25 @@
 
 __all__ = ['ShutdownHost', 'flush_answers', 'drain', 'limit_timeout']
 
-# The balancer asks once a second and turns away after two misses; a third
-# covers that its questions and the signal are not in step.
+# The load balancer probes once a second and removes a proxy after two failed
+# probes; the third covers that probes and the signal are not synchronised.
 ROTATION_S = 2.4
-# Of the grace this part is for open transactions.
+# Share of the grace period in which open transactions may end by themselves.
 TRANSACTIONS_SHARE = 0.5
-# In the last part of the grace nothing new is begun: what is under way has
-# this long, less the margin, to be answered. Statements take some 20 ms, and
-# one that waits for a lost answer 1.5 s at most.
+# New operations are refused in this last part of the grace period. Requests in
+# flight have this long, less the margin, to be answered. Statements take some
+# 20 ms, and one that waits for a lost answer takes 1.5 s at most.
 REFUSE_NEW_S = 1.4
-# Giving back the lease takes a quarter of a second at most.
+# Releasing the lease takes a quarter of a second at most.
 EXIT_MARGIN_S = 0.4
 POLL_INTERVAL_S = 0.05
-# Answers that are ready are written within a few turns of the loop.
+# Answers that are ready are written within a few iterations of the event loop.
 FLUSH_TIMEOUT_S = 0.1
 FLUSH_POLL_INTERVAL_S = 0.005
 
 
 class ShutdownHost(typing.Protocol):
-    """Say what has to come to its end in a process that leaves."""
+    """Parts of a process that its shutdown uses."""
 
     config: settings.PoolerSettings
     log: events.EventLog
@@ -48,66 +48,68 @@
 
 
 def limit_timeout(
-    request: messages.Request, ends_ms: int | None
+    request: messages.Request, exit_deadline_ms: int | None
 ) -> messages.Request:
-    """Give a request no more time than its process has.
+    """Limit a request's timeout to the time until the process exits.
 
-    Otherwise its session ends without an answer: whoever serves it for this
-    process goes on when that is gone, and the caller cannot know whether a
-    write of it is kept.
+    Otherwise its session could end without an answer: another proxy that
+    serves the request continues after the exit, and the caller cannot know
+    whether a write is kept.
     """
-    if ends_ms is None:
+    if exit_deadline_ms is None:
         return request
-    left_ms = max(0, ends_ms - request.arrived_ms)
+    left_ms = max(0, exit_deadline_ms - request.arrived_ms)
     if request.policy.timeout_ms <= left_ms:
         return request
     policy = dataclasses.replace(request.policy, timeout_ms=left_ms)
     return dataclasses.replace(request, policy=policy)
 
 
-async def drain(leaver: ShutdownHost) -> None:
-    """Finish what is open within the grace.
+async def drain(host: ShutdownHost) -> None:
+    """Finish open work within the grace period.
 
-    First the balancer turns new callers away, then sessions end where they
-    are between operations, then open transactions end, then new operations
-    are refused, and what is under way is answered.
+    First the load balancer stops sending callers. Then sessions are closed
+    between operations, then sessions with open transactions, then new
+    operations are refused and requests in flight are answered.
     """
-    grace_s = leaver.config.grace_s
+    grace_s = host.config.grace_s
     began_ms = clock.suspended_ms()
-    leaver.exit_deadline_ms = began_ms + int((grace_s - EXIT_MARGIN_S) * 1000)
-    leaver.log.emit(
-        'process', 'stop begins', inputs={'sessions': len(leaver.callers)}
+    host.exit_deadline_ms = began_ms + int((grace_s - EXIT_MARGIN_S) * 1000)
+    host.log.emit(
+        'process', 'stop begins', inputs={'sessions': len(host.callers)}
     )
-    giving_back = asyncio.create_task(leaver.promotion_lease.close())
-    await _until(leaver, began_ms, min(ROTATION_S, grace_s * 0.4))
-    leaver.shutdown_phase = caller_task.ShutdownPhase.CLOSE_IDLE
-    await _until(leaver, began_ms, grace_s * TRANSACTIONS_SHARE)
-    leaver.shutdown_phase = caller_task.ShutdownPhase.CLOSE_TRANSACTIONS
-    await _until(leaver, began_ms, grace_s - REFUSE_NEW_S)
-    leaver.shutdown_phase = caller_task.ShutdownPhase.REFUSE_NEW
-    await _until(leaver, began_ms, grace_s - EXIT_MARGIN_S)
-    giving_back.cancel()
-
-
-async def _until(leaver: ShutdownHost, began_ms: int, after_s: float) -> None:
-    """Let quiet sessions go until a moment, or until none is left."""
+    lease_release = asyncio.create_task(host.promotion_lease.close())
+    await _close_idle_until(host, began_ms, min(ROTATION_S, grace_s * 0.4))
+    host.shutdown_phase = caller_task.ShutdownPhase.CLOSE_IDLE
+    await _close_idle_until(host, began_ms, grace_s * TRANSACTIONS_SHARE)
+    host.shutdown_phase = caller_task.ShutdownPhase.CLOSE_TRANSACTIONS
+    await _close_idle_until(host, began_ms, grace_s - REFUSE_NEW_S)
+    host.shutdown_phase = caller_task.ShutdownPhase.REFUSE_NEW
+    await _close_idle_until(host, began_ms, grace_s - EXIT_MARGIN_S)
+    lease_release.cancel()
+
+
+async def _close_idle_until(
+    host: ShutdownHost, began_ms: int, after_s: float
+) -> None:
+    """Close idle sessions until a time, or until no work is left."""
     while clock.suspended_ms() - began_ms < after_s * 1000:
-        if leaver.shutdown_phase is not caller_task.ShutdownPhase.RUNNING:
-            for caller in list(leaver.callers):
+        if host.shutdown_phase is not caller_task.ShutdownPhase.RUNNING:
+            for caller in list(host.callers):
                 caller.close_if_idle()
-            if not leaver.callers and not leaver.hop_server.is_busy():
+            if not host.callers and not host.hop_server.is_busy():
                 return
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def flush_answers(leaver: ShutdownHost) -> None:
-    """Give up all that is under way, and let it be told."""
-    leaver.router.close()
-    for group in leaver.groups.values():
+async def flush_answers(host: ShutdownHost) -> None:
+    """End all requests in flight, and let their answers be sent."""
+    host.router.close()
+    for group in host.groups.values():
         group.close()
     until_ms = clock.suspended_ms() + int(FLUSH_TIMEOUT_S * 1000)
     while clock.suspended_ms() < until_ms:
-        answering = any(caller.busy for caller in leaver.callers)
-        if not answering and not leaver.hop_server.is_busy():
+        answering = any(caller.busy for caller in host.callers)
+        if not answering and not host.hop_server.is_busy():
             return
         await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
--- a/topazring/pooler/tests/test_promotion_lease.py
+++ b/topazring/pooler/tests/test_promotion_lease.py
@@ -109,7 +109,7 @@
         self.own_changed.set()
 
 
-class DutyTest(testtools.TestCase):
+class PromotionLeaseTest(testtools.TestCase):
     """One holder, tokens that only grow."""
 
     def play(self, steps):
@@ -119,13 +119,13 @@
     async def _play(self, steps):
         self.directory = Directory()
         self.store = Store(self.directory)
-        self.told = []
+        self.changes = []
         self.promotion_lease = promotion_leases.PromotionLease(
             'p1-a',
             self.store,
             self.directory,
             events.EventLog('p1'),
-            lambda holds, token: self.told.append((holds, token)),
+            lambda holds, token: self.changes.append((holds, token)),
         )
         await steps()
         await self.promotion_lease.close()
@@ -143,7 +143,7 @@
             self.directory.set(promotion_leases.TOKEN_BLOCK_KEY, '70000')
             self.promotion_lease.start()
             await self.until(True)
-            self.assertEqual([(True, 80_000)], self.told)
+            self.assertEqual([(True, 80_000)], self.changes)
             await asyncio.sleep(TTL_S + 0.5)
             self.assertTrue(self.promotion_lease.holds)
 
@@ -163,12 +163,12 @@
             self.directory.set(
                 promotion_leases.LEASE_KEY, '{"holder":"x","token":1}'
             )
-            await self.promotion_lease._try()
+            await self.promotion_lease._try_acquire()
             self.assertFalse(self.promotion_lease.holds)
             await asyncio.sleep(TTL_S - 0.6)
             self.directory.set(promotion_leases.LEASE_KEY, None)
             self.directory.known.changes.pop(promotion_leases.LEASE_KEY)
-            await self.promotion_lease._try()
+            await self.promotion_lease._try_acquire()
             self.promotion_lease.start()
             await asyncio.sleep(1.5)
             self.assertTrue(self.promotion_lease.holds)
@@ -246,7 +246,7 @@
             await self.until(
                 False, within_s=promotion_leases.RENEW_INTERVAL_S + 0.5
             )
-            self.assertEqual((False, 0), self.told[-1])
+            self.assertEqual((False, 0), self.changes[-1])
 
         self.play(steps)
 
@@ -258,7 +258,9 @@
             await self.until(True)
             self.promotion_lease.request_recheck()
             await asyncio.sleep(0.2)
-            self.assertEqual([True, True], [holds for holds, _ in self.told])
+            self.assertEqual(
+                [True, True], [holds for holds, _ in self.changes]
+            )
             self.directory.set(
                 promotion_leases.LEASE_KEY, '{"holder":"x","token":1}'
             )
--- a/topazring/pooler/upstream_link.py
+++ b/topazring/pooler/upstream_link.py
@@ -26,61 +26,61 @@
 
 
 class UpstreamLink:
-    """Carry commands out and replies in; tell the group of both."""
+    """Send commands and receive replies; report events to the group."""
 
     def __init__(
         self,
         number: int,
         codec: ports.UpstreamCodec,
-        post: collections.abc.Callable[[object], None],
+        on_message: collections.abc.Callable[[object], None],
     ):
         self.number = number
         self.codec = codec
-        self.post = post
+        self.on_message = on_message
         self.reader = codec.reader()
         self.stream: iostream.IOStream | None = None
         self.task: asyncio.Task | None = None
-        # Replies still to come for what is under way, and those that came.
-        self.expected = 0
+        # Replies that are still expected, and those received so far.
+        self.expected_replies = 0
         self.replies: list[statements.Reply] = []
 
     def start(self, service: str, upstream: str, address: str) -> None:
-        """Connect, and read until the end."""
+        """Connect, and read until the connection ends."""
         self.task = asyncio.create_task(self._run(service, upstream, address))
 
     def close(self) -> None:
-        """Close the connection without telling anyone."""
+        """Close the connection without reporting it."""
         if self.task is not None:
             self.task.cancel()
         if self.stream is not None:
             self.stream.close()
 
     def send(self, commands: tuple[statements.Command, ...]) -> None:
-        """Send commands in one piece."""
-        self.expected = len(commands)
+        """Send commands in one write."""
+        self.expected_replies = len(commands)
         self.replies = []
         try:
-            # What fails later is seen by the reader, which ends too.
+            # The reader detects later failures, as it ends with the stream.
             self.stream.write(self.codec.encode(commands))
         except iostream.StreamClosedError:
             asyncio.get_running_loop().call_soon(
-                self._ended, Reason.CONNECTION_LOST
+                self._report_closed, Reason.CONNECTION_LOST
             )
 
     async def _run(self, service: str, upstream: str, address: str) -> None:
         try:
-            place = await self._open(service, upstream, address)
+            answer = await self._connect(service, upstream, address)
         except (OSError, iostream.StreamClosedError, ValueError):
-            self._ended(Reason.CONNECTION_LOST)
+            self._report_closed(Reason.CONNECTION_LOST)
             return
-        if isinstance(place, statements.Reply):
-            self._refused(place)
+        if isinstance(answer, statements.Reply):
+            self._report_refused(answer)
             return
-        self.post(messages.Opened(self.number, place))
+        self.on_message(messages.Opened(self.number, answer))
         await self._read_forever()
 
-    async def _open(self, service: str, upstream: str, address: str):
-        """Return the upstream's place, or its refusal."""
+    async def _connect(self, service: str, upstream: str, address: str):
+        """Return the upstream's log position, or the reply that refuses."""
         target = settings.endpoint(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         dialling.keep_alive(sock)
@@ -92,30 +92,30 @@
             for reply in self.reader.feed(data):
                 return reply if reply.code is not None else reply.place
 
-    def _refused(self, reply: statements.Reply) -> None:
+    def _report_refused(self, reply: statements.Reply) -> None:
         self.stream.close()
         reason = _DIAL_REASONS.get(reply.code, Reason.CONNECTION_LOST)
-        self.post(messages.Closed(self.number, reason, reply.code))
+        self.on_message(messages.Closed(self.number, reason, reply.code))
 
     async def _read_forever(self) -> None:
         try:
             while True:
                 data = await self.stream.read_bytes(READ_BYTES, partial=True)
                 for reply in self.reader.feed(data):
-                    self._take(reply)
+                    self._handle_reply(reply)
         except (OSError, iostream.StreamClosedError, ValueError):
-            self._ended(Reason.CONNECTION_LOST)
+            self._report_closed(Reason.CONNECTION_LOST)
 
-    def _take(self, reply: statements.Reply) -> None:
-        if self.expected == 0:
+    def _handle_reply(self, reply: statements.Reply) -> None:
+        if self.expected_replies == 0:
             raise ValueError('a reply to nothing')
         self.replies.append(reply)
-        self.expected -= 1
-        if self.expected == 0:
-            self.post(messages.Replied(self.number, tuple(self.replies)))
+        self.expected_replies -= 1
+        if self.expected_replies == 0:
+            self.on_message(messages.Replied(self.number, tuple(self.replies)))
 
-    def _ended(self, reason: outcomes.Reason) -> None:
+    def _report_closed(self, reason: outcomes.Reason) -> None:
         if self.stream is not None:
             self.stream.close()
-        replies = tuple(self.replies) if self.expected else ()
-        self.post(messages.Closed(self.number, reason, None, replies))
+        replies = tuple(self.replies) if self.expected_replies else ()
+        self.on_message(messages.Closed(self.number, reason, None, replies))
