--- a/topazring/core/admission.py
+++ b/topazring/core/admission.py
@@ -7,7 +7,7 @@
 __all__ = [
     'FairQueue',
     'count_ahead',
-    'estimate_wait',
+    'estimate_wait_ms',
     'pop',
     'push',
     'remove',
@@ -117,7 +117,7 @@
     return sum(min(len(line), turns) for line in queue.heaps.values())
 
 
-def estimate_wait(
+def estimate_wait_ms(
     queue: FairQueue, organisation: str, slots: int, service_ms: float
 ) -> float:
     """Estimate how long a new request of this organisation would wait.
--- a/topazring/core/arrival.py
+++ b/topazring/core/arrival.py
@@ -11,9 +11,9 @@
 
 __all__ = [
     'majority_lag',
-    'too_late',
+    'check_deadline',
     'submit',
-    'usual_lag',
+    'usual_lag_ms',
 ]
 
 Out = list
@@ -37,7 +37,7 @@
     work = states.Work(request, now_ms, maybe_ran=request.repeat)
     state.work[request.key] = work
     if request.kind is Kind.SETTLE:
-        work.settling = True
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
@@ -60,12 +60,12 @@
     if transaction is None and request.kind is Kind.COMMIT:
         # It may be a second copy of a commit that took effect; only the
         # record knows.
-        work.settling = True
+        work.is_resolving = True
         work.maybe_ran = True
         state.urgent.append(request.key)
         return []
     lost = outcomes.NotRun(
-        Reason.TRANSACTION_LOST, completion.LEAST_RETRY_AFTER_MS
+        Reason.TRANSACTION_LOST, completion.MIN_RETRY_AFTER_MS
     )
     return completion.finish(state, work, lost)
 
@@ -78,26 +78,28 @@
     primary_needed = (
         completion.queue_for(state, request, False) is state.primary_queue
     )
-    if primary_needed and expiry.is_cut_off(state, now_ms):
-        return completion.refuse(Reason.NO_PRIMARY, expiry.CUT_OFF_MS)
-    reason = too_late(state, now_ms, request)
+    if primary_needed and expiry.is_primary_unreachable(state, now_ms):
+        return completion.make_refusal(
+            Reason.NO_PRIMARY, expiry.UNREACHABLE_MS
+        )
+    reason = check_deadline(state, now_ms, request)
     if reason is not None:
-        return completion.refuse(reason, majority_lag(state, now_ms))
+        return completion.make_refusal(reason, majority_lag(state, now_ms))
     queue = completion.queue_for(state, request, primary_only=False)
-    wait_ms = admission.estimate_wait(
+    wait_ms = admission.estimate_wait_ms(
         queue, request.organisation, state.limits.slots, state.service_ms
     )
     wait_ms = wait_ms * CAUTION + _needed_ms(state, now_ms, request.kind)
     if wait_ms > left_ms:
-        return completion.refuse(Reason.OVERLOAD, wait_ms - left_ms)
+        return completion.make_refusal(Reason.OVERLOAD, wait_ms - left_ms)
     if request.kind is Kind.BEGIN:
         most = state.limits.connections - state.limits.slots - 1
         if len(state.transactions) >= max(1, most):
-            return completion.refuse(Reason.CONNECTION_LIMIT, 0)
+            return completion.make_refusal(Reason.CONNECTION_LIMIT, 0)
     return None
 
 
-def too_late(
+def check_deadline(
     state: states.OwnerState, now_ms: int, request: requests.Request
 ) -> Reason | None:
     """Say why a request would end in doubt if it began now, if it would.
@@ -122,7 +124,7 @@
     return needed * TIGHT
 
 
-def usual_lag(state: states.OwnerState) -> float:
+def usual_lag_ms(state: states.OwnerState) -> float:
     """Return how long a majority usually takes to hold a new place."""
     lags = {name: u.lag_ms for name, u in state.view.upstreams.items()}
     return _lag_of_majority(state, lags)
@@ -133,8 +135,8 @@
     lags = {}
     for name, seen in state.view.upstreams.items():
         lags[name] = seen.lag_ms
-        if seen.awaited is not None:
-            lags[name] = max(seen.lag_ms, now_ms - seen.awaited.sent_ms)
+        if seen.lag_sample is not None:
+            lags[name] = max(seen.lag_ms, now_ms - seen.lag_sample.sent_ms)
     return _lag_of_majority(state, lags)
 
 
--- a/topazring/core/completion.py
+++ b/topazring/core/completion.py
@@ -10,13 +10,13 @@
 
 __all__ = [
     'IN_TRANSACTION',
-    'LEAST_RETRY_AFTER_MS',
+    'MIN_RETRY_AFTER_MS',
     'enqueue',
     'finish',
     'give_up',
-    'lose_transaction_of',
+    'fail_lost_transaction',
     'queue_for',
-    'refuse',
+    'make_refusal',
     'resolve_in_doubt',
     'requeue',
 ]
@@ -25,13 +25,13 @@
 Reason = outcomes.Reason
 Kind = requests.Kind
 
-LEAST_RETRY_AFTER_MS = 50
+MIN_RETRY_AFTER_MS = 50
 IN_TRANSACTION = frozenset({Kind.EXECUTE, Kind.COMMIT, Kind.ROLLBACK})
 
 
-def refuse(reason: Reason, after_ms: float) -> outcomes.NotRun:
+def make_refusal(reason: Reason, after_ms: float) -> outcomes.NotRun:
     """Return a refusal that says when to come back."""
-    return outcomes.NotRun(reason, max(LEAST_RETRY_AFTER_MS, int(after_ms)))
+    return outcomes.NotRun(reason, max(MIN_RETRY_AFTER_MS, int(after_ms)))
 
 
 def queue_for(
@@ -48,7 +48,7 @@
     """Have a request wait; answer the one that has to make room."""
     request = work.request
     work.phase = states.Phase.QUEUED
-    if work.settling or request.kind in IN_TRANSACTION:
+    if work.is_resolving or request.kind in IN_TRANSACTION:
         state.urgent.append(request.key)
         return []
     queue = queue_for(state, request, work.primary_only)
@@ -79,8 +79,8 @@
         return requeue(state, now_ms, work, reason, False)
     repeatable = work.request.profile.repeatable
     again = repeatable and work.request.kind is Kind.WRITE
-    if not again and not work.settling:
-        work.settling = True
+    if not again and not work.is_resolving:
+        work.is_resolving = True
         state.counters['settle'] += 1
     return requeue(state, now_ms, work, reason, False)
 
@@ -96,7 +96,7 @@
     work.last_reason = reason
     if now_ms >= work.request.deadline_ms:
         return give_up(state, work, reason, 0)
-    open_fate = work.maybe_ran and work.request.kind in requests.WRITES
+    open_fate = work.maybe_ran and work.request.kind in requests.RECORDED_KINDS
     if charged and not open_fate and not retries.spend(state.budget):
         return give_up(state, work, Reason.RETRY_BUDGET, 100)
     state.counters[f'retry_{reason}'] += 1
@@ -112,7 +112,7 @@
     """Answer a request that is given up, truly: not run, or unknown."""
     if work.maybe_ran:
         return finish(state, work, outcomes.Unknown(reason))
-    return finish(state, work, refuse(reason, after_ms))
+    return finish(state, work, make_refusal(reason, after_ms))
 
 
 def finish(
@@ -121,7 +121,7 @@
     """Give the one final answer."""
     request = work.request
     del state.work[request.key]
-    rounds.take_waiter(state.round_state, request.key)
+    rounds.remove_waiter(state.round_state, request.key)
     if work.phase is states.Phase.QUEUED:
         _leave_queues(state, work)
     if not isinstance(outcome, outcomes.Done):
@@ -137,7 +137,7 @@
     admission.remove(queue, request.organisation, request.key)
 
 
-def lose_transaction_of(state: states.OwnerState, work: states.Work) -> Out:
+def fail_lost_transaction(state: states.OwnerState, work: states.Work) -> Out:
     """Answer a statement whose transaction is gone."""
-    lost = outcomes.NotRun(Reason.TRANSACTION_LOST, LEAST_RETRY_AFTER_MS)
+    lost = outcomes.NotRun(Reason.TRANSACTION_LOST, MIN_RETRY_AFTER_MS)
     return finish(state, work, lost)
--- a/topazring/core/dispatch.py
+++ b/topazring/core/dispatch.py
@@ -39,14 +39,14 @@
     state: states.OwnerState, now_ms: int, key: int, free: dict[str, int]
 ) -> Out:
     work = state.work[key]
-    if work.settling:
+    if work.is_resolving:
         upstream = state.view.primary
         term = state.view.term
     else:
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
             state.urgent.remove(key)
-            return completion.lose_transaction_of(state, work)
+            return completion.fail_lost_transaction(state, work)
         upstream = transaction.upstream
         term = transaction.term
     if not upstream or free.get(upstream, 0) <= 0:
@@ -68,7 +68,7 @@
         if key is None:
             break
         work = state.work[key]
-        reason = arrival.too_late(state, now_ms, work.request)
+        reason = arrival.check_deadline(state, now_ms, work.request)
         if reason is not None:
             outs += completion.give_up(state, work, reason, 0)
             continue
@@ -92,7 +92,7 @@
         key = admission.pop(state.replica_queue, now_ms)
         work = state.work[key]
         route = routing.choose_replica(
-            state.view, now_ms, work.request, free, state.leaving
+            state.view, now_ms, work.request, free, state.leaving_upstreams
         )
         if route is None:
             work.primary_only = True
@@ -121,7 +121,7 @@
     """
     waiting = state.round_state.waiters.values()
     oldest_ms = min((w.sent_ms for w in waiting if w.key > 0), default=now_ms)
-    allowed_ms = max(STALL_MS, arrival.usual_lag(state) * STALL_LAGS)
+    allowed_ms = max(STALL_MS, arrival.usual_lag_ms(state) * STALL_LAGS)
     return now_ms - oldest_ms > allowed_ms
 
 
@@ -164,14 +164,14 @@
     work.sent_ms = now_ms
     work.at_replica = route is not None
     free[upstream] -= 1
-    state.in_work[upstream] = state.in_work.get(upstream, 0) + 1
+    state.in_flight[upstream] = state.in_flight.get(upstream, 0) + 1
     left_ms = max(1, work.request.deadline_ms - now_ms)
     return messages.Execute(
         work.request.key,
         work.attempt,
         upstream,
         term,
-        Kind.SETTLE if work.settling else work.request.kind,
+        Kind.SETTLE if work.is_resolving else work.request.kind,
         work.request,
         work.at_replica,
         route.place if route else log_positions.ORIGIN,
--- a/topazring/core/expiry.py
+++ b/topazring/core/expiry.py
@@ -6,11 +6,11 @@
 from topazring.core import state as states
 
 __all__ = [
-    'CUT_OFF_MS',
+    'UNREACHABLE_MS',
     'abandon',
     'expire',
-    'hand_back',
-    'is_cut_off',
+    'fail_primary_requests',
+    'is_primary_unreachable',
     'withdraw',
 ]
 
@@ -18,16 +18,16 @@
 Reason = outcomes.Reason
 
 # So long the primary may be unreachable from here before work goes back.
-CUT_OFF_MS = 400
+UNREACHABLE_MS = 400
 
 
-def is_cut_off(state: states.OwnerState, now_ms: int) -> bool:
+def is_primary_unreachable(state: states.OwnerState, now_ms: int) -> bool:
     """Say whether this owner has long failed to reach a live primary."""
-    since_ms = state.cut_off_since_ms
-    return since_ms is not None and now_ms - since_ms >= CUT_OFF_MS
+    since_ms = state.unreachable_since_ms
+    return since_ms is not None and now_ms - since_ms >= UNREACHABLE_MS
 
 
-def hand_back(state: states.OwnerState, now_ms: int) -> Out:
+def fail_primary_requests(state: states.OwnerState, now_ms: int) -> Out:
     """Give back what needs a primary that only others can reach.
 
     The symptom without it: requests wait here to their deadlines while
@@ -40,7 +40,7 @@
         urgent = work.request.key in state.urgent
         if waits and (urgent or queue is state.primary_queue):
             outs += completion.give_up(
-                state, work, Reason.NO_PRIMARY, CUT_OFF_MS
+                state, work, Reason.NO_PRIMARY, UNREACHABLE_MS
             )
     return outs
 
@@ -90,7 +90,7 @@
     if work.attempt == 0 and state.view.primary:
         reason = Reason.DEADLINE
     return completion.give_up(
-        state, work, reason, completion.LEAST_RETRY_AFTER_MS
+        state, work, reason, completion.MIN_RETRY_AFTER_MS
     )
 
 
--- a/topazring/core/failover.py
+++ b/topazring/core/failover.py
@@ -1,16 +1,16 @@
 """Decide when to promote, and see a promotion through."""
 
 from topazring.core import expiry
-from topazring.core import heard
 from topazring.core import messages
+from topazring.core import observations
 from topazring.core import promotion
 from topazring.core import state as states
 from topazring.core import suspicion
 
 __all__ = [
-    'fence_replied',
-    'lead_replied',
-    'watch_over',
+    'handle_fence_reply',
+    'handle_lead_reply',
+    'check_primary',
 ]
 
 Out = list
@@ -21,7 +21,7 @@
 # A peer's word is taken for that long.
 PEER_WORD_MS = 1500
 # An owner that knows of a newer term is left so long to see it through.
-PEER_AHEAD_MS = 300
+PEER_PROMOTION_WAIT_MS = 300
 # Silent peers are not waited for longer than this.
 ALONE_AFTER_MS = 1500
 GRANTS_WANTED = 3
@@ -30,7 +30,7 @@
 HAND_OVER_MS = 2000
 
 
-def watch_over(state: states.OwnerState, now_ms: int) -> Out:
+def check_primary(state: states.OwnerState, now_ms: int) -> Out:
     """Judge the primary and take the next step of a promotion."""
     verdict, why = suspicion.judge(state.evidence, state.view, now_ms)
     outs = _tell_peers(state, now_ms, verdict)
@@ -39,7 +39,7 @@
         return outs + _drive(state, now_ms)
     if verdict is suspicion.Verdict.SUSPECT:
         return outs + _consider(state, now_ms, why)
-    state.suspected_ms = None
+    state.suspected_since_ms = None
     outs += _note_cut_off(state, now_ms, verdict)
     return outs + _hand_over(state, now_ms)
 
@@ -48,14 +48,14 @@
     state: states.OwnerState, now_ms: int, verdict: suspicion.Verdict
 ) -> Out:
     """Notice that the primary is there but not for this owner."""
-    if verdict is not suspicion.Verdict.OURS:
-        state.cut_off_since_ms = None
+    if verdict is not suspicion.Verdict.LOCAL_FAILURE:
+        state.unreachable_since_ms = None
         return []
-    if state.cut_off_since_ms is None:
-        state.cut_off_since_ms = now_ms
-    if not expiry.is_cut_off(state, now_ms):
+    if state.unreachable_since_ms is None:
+        state.unreachable_since_ms = now_ms
+    if not expiry.is_primary_unreachable(state, now_ms):
         return []
-    return expiry.hand_back(state, now_ms)
+    return expiry.fail_primary_requests(state, now_ms)
 
 
 def _tell_peers(
@@ -69,32 +69,32 @@
     alive = verdict is suspicion.Verdict.ALIVE
     if not suspects and not (alive and asked):
         return []
-    first = suspects and state.suspected_ms is None
-    if not first and now_ms - state.told_suspicion_ms < TELL_MS:
+    first = suspects and state.suspected_since_ms is None
+    if not first and now_ms - state.suspicion_sent_ms < TELL_MS:
         return []
-    state.told_suspicion_ms = now_ms
+    state.suspicion_sent_ms = now_ms
     return [messages.SendSuspicion(state.view.term, suspects)]
 
 
 def _want_grants(state: states.OwnerState, now_ms: int) -> Out:
-    if now_ms - state.asked_grants_ms < ASK_GRANTS_MS:
+    if now_ms - state.grants_requested_ms < ASK_GRANTS_MS:
         return []
     usable = [term for term in state.grants if term > state.view.term]
     if len(usable) >= GRANTS_WANTED:
         return []
-    state.asked_grants_ms = now_ms
+    state.grants_requested_ms = now_ms
     return [messages.RequestGrants(state.view.term)]
 
 
 def _consider(state: states.OwnerState, now_ms: int, why: str) -> Out:
     outs: Out = []
-    if state.suspected_ms is None:
-        state.suspected_ms = now_ms
+    if state.suspected_since_ms is None:
+        state.suspected_since_ms = now_ms
         outs.append(messages.RecordDecision('suspects its primary', why))
     agreed, grounds = _agreed(state, now_ms)
     hold_ms = STAGGER_MS * _rank(state)
     ready = now_ms >= max(
-        state.retry_promotion_ms, state.suspected_ms + hold_ms
+        state.retry_promotion_ms, state.suspected_since_ms + hold_ms
     )
     if not agreed or not ready or _peer_is_ahead(state, now_ms):
         return outs
@@ -109,7 +109,7 @@
     is waited for only as long as a promotion and a look at it take.
     """
     ahead = state.peer_term > state.view.term
-    return ahead and now_ms - state.peer_term_ms < PEER_AHEAD_MS
+    return ahead and now_ms - state.peer_term_since_ms < PEER_PROMOTION_WAIT_MS
 
 
 def _rank(state: states.OwnerState) -> int:
@@ -133,7 +133,7 @@
             return True, f'{name} agrees'
     if words:
         return False, 'the other owners do not agree'
-    if now_ms - state.suspected_ms >= ALONE_AFTER_MS:
+    if now_ms - state.suspected_since_ms >= ALONE_AFTER_MS:
         return True, 'no other owner answers'
     return False, 'no other owner has answered yet'
 
@@ -147,7 +147,7 @@
     # Used up whatever comes of it: a term serves one attempt.
     state.grants.discard(term)
     state.used_terms.add(term)
-    avoid = state.leaving | {state.view.primary}
+    avoid = state.leaving_upstreams | {state.view.primary}
     state.attempt, fences = promotion.begin(
         term, now_ms, tuple(state.view.upstreams), avoid, why
     )
@@ -158,25 +158,25 @@
     return [began, messages.SendSuspicion(term, True), *fences]
 
 
-def fence_replied(
+def handle_fence_reply(
     state: states.OwnerState, now_ms: int, message: messages.FenceReply
 ) -> Out:
     """Take in the reply to a fence."""
-    outs = heard.take_status(state, now_ms, message.status)
+    outs = observations.update_view(state, now_ms, message.status)
     if state.attempt is None:
         return outs
     outs += promotion.note_fenced(state.attempt, now_ms, message)
     return outs + _conclude(state, now_ms)
 
 
-def lead_replied(
+def handle_lead_reply(
     state: states.OwnerState, now_ms: int, message: messages.LeadReply
 ) -> Out:
     """Take in the reply of the upstream that was told to lead."""
-    outs = heard.take_status(state, now_ms, message.status)
+    outs = observations.update_view(state, now_ms, message.status)
     if state.attempt is None:
         return outs
-    promotion.note_leading(state.attempt, message)
+    promotion.note_lead_reply(state.attempt, message)
     return outs + _conclude(state, now_ms)
 
 
@@ -190,7 +190,7 @@
     attempt = state.attempt
     if attempt.phase is promotion.Phase.WON:
         state.attempt = None
-        state.suspected_ms = None
+        state.suspected_since_ms = None
         state.handing_over_since_ms = None
         state.counters['promotions_won'] += 1
         took_ms = now_ms - attempt.began_ms
@@ -220,14 +220,14 @@
 
 def _hand_over(state: states.OwnerState, now_ms: int) -> Out:
     """Move the lead off a primary that is leaving, without cutting writes."""
-    leaving = state.view.primary in state.leaving
+    leaving = state.view.primary in state.leaving_upstreams
     if not leaving or _rank(state) != 0:
         state.handing_over_since_ms = None
         return []
     if state.handing_over_since_ms is None:
         state.handing_over_since_ms = now_ms
     waited_ms = now_ms - state.handing_over_since_ms
-    in_flight = state.in_work.get(state.view.primary, 0)
+    in_flight = state.in_flight.get(state.view.primary, 0)
     quiet = not in_flight and not state.transactions and _caught_up(state)
     if not quiet and waited_ms < HAND_OVER_MS:
         return []
@@ -241,5 +241,6 @@
     return any(
         seen.place >= primary.place
         for seen in state.view.upstreams.values()
-        if seen.name != state.view.primary and seen.name not in state.leaving
+        if seen.name != state.view.primary
+        and seen.name not in state.leaving_upstreams
     )
--- a/topazring/core/forwarding.py
+++ b/topazring/core/forwarding.py
@@ -21,7 +21,7 @@
 
 PAUSE_MS = 50
 # The hop back needs a little of the caller's time.
-MARGIN_MS = 20
+RETURN_MARGIN_MS = 20
 # These say that the owner cannot, not that the request is at fault.
 OWNER_CANNOT = frozenset(
     {Reason.NO_PRIMARY, Reason.DRAINING, Reason.NO_CONFIGURATION}
@@ -39,7 +39,7 @@
     # The only owner that holds the transaction's connection.
     bound_to: str = ''
     tried: list[str] = dataclasses.field(default_factory=list)
-    settling: bool = False
+    is_resolving: bool = False
     maybe_ran: bool = False
     last: outcomes.Outcome | None = None
     final: outcomes.Outcome | None = None
@@ -82,8 +82,8 @@
     transaction is no longer open here.
     """
     plan = Plan(kind, repeatable, deadline_ms, bound_to)
-    plan.settling = kind is Kind.COMMIT and not bound_to
-    plan.maybe_ran = repeat or plan.settling
+    plan.is_resolving = kind is Kind.COMMIT and not bound_to
+    plan.maybe_ran = repeat or plan.is_resolving
     return plan
 
 
@@ -94,13 +94,13 @@
     if plan.final is not None:
         return Finish(plan.final)
     left_ms = plan.deadline_ms - now_ms
-    if left_ms <= MARGIN_MS:
+    if left_ms <= RETURN_MARGIN_MS:
         return Finish(_give_up(plan, Reason.DEADLINE))
-    if plan.bound_to and not plan.settling:
-        return Send(plan.bound_to, False, left_ms - MARGIN_MS)
+    if plan.bound_to and not plan.is_resolving:
+        return Send(plan.bound_to, False, left_ms - RETURN_MARGIN_MS)
     for owner in owners:
         if owner not in plan.tried:
-            return Send(owner, plan.settling, left_ms - MARGIN_MS)
+            return Send(owner, plan.is_resolving, left_ms - RETURN_MARGIN_MS)
     if plan.maybe_ran and owners:
         # Its fate is open: keep asking whoever is there until it is known.
         plan.tried.clear()
@@ -124,7 +124,7 @@
     if isinstance(result, messages.ConnectionLost):
         _note_lost(plan, result)
         return
-    bound = plan.kind in ON_CONNECTION and not plan.settling
+    bound = plan.kind in ON_CONNECTION and not plan.is_resolving
     match result:
         case outcomes.NotRun(reason=reason) if reason in OWNER_CANNOT:
             if not bound:
@@ -136,7 +136,7 @@
             _note_lost(plan, messages.ConnectionLost(reason, True))
             return
         case outcomes.NotRun(reason=reason) if plan.maybe_ran:
-            if not plan.settling and reason is not Reason.CANCELLED:
+            if not plan.is_resolving and reason is not Reason.CANCELLED:
                 # It speaks of this copy; the one before may have run.
                 result = outcomes.Unknown(reason)
     plan.final = result
@@ -150,12 +150,12 @@
         plan.final = outcomes.NotRun(Reason.TRANSACTION_LOST, 50)
         return
     if not lost.sent:
-        if plan.kind is Kind.COMMIT and not plan.settling:
+        if plan.kind is Kind.COMMIT and not plan.is_resolving:
             plan.final = outcomes.NotRun(Reason.TRANSACTION_LOST, 50)
         return
     if plan.kind is Kind.BEGIN:
         return
     plan.maybe_ran = True
     again = plan.repeatable and plan.kind is Kind.WRITE
-    if plan.kind in requests.WRITES and not again:
-        plan.settling = True
+    if plan.kind in requests.RECORDED_KINDS and not again:
+        plan.is_resolving = True
--- a/topazring/core/members.py
+++ b/topazring/core/members.py
@@ -18,7 +18,7 @@
 ]
 
 # A peer that failed is passed over for that long, then tried again.
-FAILED_MS = 1500
+FAILURE_BACKOFF_MS = 1500
 # Incarnations that left are remembered, so that a stale list cannot bring
 # them back. The list lags by seconds; this is far more.
 LEFT_KEPT = 4096
@@ -97,7 +97,7 @@
 def is_reachable(members: Members, name: str, now_ms: int) -> bool:
     """Say whether a peer is worth trying."""
     failed_ms = members.failed_ms.get(name)
-    return failed_ms is None or now_ms - failed_ms > FAILED_MS
+    return failed_ms is None or now_ms - failed_ms > FAILURE_BACKOFF_MS
 
 
 def candidates_of(members: Members) -> list[hashing.Candidate]:
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -7,9 +7,9 @@
 from topazring.core import expiry
 from topazring.core import failover
 from topazring.core import groups
-from topazring.core import heard
 from topazring.core import log_positions
 from topazring.core import messages
+from topazring.core import observations
 from topazring.core import results
 from topazring.core import rounds
 from topazring.core import state as states
@@ -49,24 +49,24 @@
     replicas = [
         name for name in state.view.upstreams if name != state.view.primary
     ]
-    asks = rounds.ask(state.round_state, now_ms, replicas)
+    asks = rounds.start_round(state.round_state, now_ms, replicas)
     for ask in asks:
-        state.asked_ms[ask.upstream] = now_ms
+        state.status_requested_ms[ask.upstream] = now_ms
     return asks
 
 
 handles(messages.Submit)(arrival.submit)
 handles(messages.Withdraw)(expiry.withdraw)
 handles(messages.Abandon)(expiry.abandon)
-handles(messages.StatusReceived)(heard.status_seen)
-handles(messages.LinkOpened)(heard.link_opened)
-handles(messages.ProbeFailed)(heard.probe_failed)
-handles(messages.PeerSuspicion)(heard.peer_suspects)
-handles(messages.OwnersChanged)(heard.owners_seen)
-handles(messages.GrantsReceived)(heard.grants_seen)
-handles(messages.UpstreamsLeaving)(heard.leaving_seen)
-handles(messages.FenceReply)(failover.fence_replied)
-handles(messages.LeadReply)(failover.lead_replied)
+handles(messages.StatusReceived)(observations.handle_status)
+handles(messages.LinkOpened)(observations.handle_link_opened)
+handles(messages.ProbeFailed)(observations.handle_probe_failed)
+handles(messages.PeerSuspicion)(observations.handle_peer_suspicion)
+handles(messages.OwnersChanged)(observations.handle_owners)
+handles(messages.GrantsReceived)(observations.handle_grants)
+handles(messages.UpstreamsLeaving)(observations.handle_leaving)
+handles(messages.FenceReply)(failover.handle_fence_reply)
+handles(messages.LeadReply)(failover.handle_lead_reply)
 
 
 @handles(messages.Executed)
@@ -77,8 +77,8 @@
     result = message.result
     if isinstance(result, messages.Refused) and result.status is not None:
         if result.status.accepted_term > state.view.term:
-            outs += heard.take_status(state, now_ms, result.status)
-    return outs + results.executed(state, now_ms, message)
+            outs += observations.update_view(state, now_ms, result.status)
+    return outs + results.handle_executed(state, now_ms, message)
 
 
 @handles(messages.Tick)
@@ -88,15 +88,15 @@
     suspicion.note_pause(state.evidence, now_ms, message.paused_ms)
     outs = expiry.expire(state, now_ms)
     outs += _heartbeat(state, now_ms)
-    outs += failover.watch_over(state, now_ms)
+    outs += failover.check_primary(state, now_ms)
     return outs
 
 
 def _heartbeat(state: states.OwnerState, now_ms: int) -> list:
     """Ask the primary, and each replica that no round asks, how it is."""
     outs = []
-    suspected = state.suspected_ms is not None
-    alarmed = suspected or suspicion.alarmed(state.evidence)
+    suspected = state.suspected_since_ms is not None
+    alarmed = suspected or suspicion.has_failure(state.evidence)
     for name in state.view.upstreams:
         period_ms = state.limits.heartbeat_ms
         if alarmed:
@@ -106,9 +106,9 @@
         if name != state.view.primary:
             # The round that the primary's own reply starts comes first.
             period_ms += period_ms // 2
-        if now_ms - state.asked_ms.get(name, -10_000) < period_ms:
+        if now_ms - state.status_requested_ms.get(name, -10_000) < period_ms:
             continue
-        state.asked_ms[name] = now_ms
+        state.status_requested_ms[name] = now_ms
         outs.append(
             messages.RequestStatus(name, 0, 0, log_positions.ORIGIN, 0)
         )
--- a/topazring/core/promotion.py
+++ b/topazring/core/promotion.py
@@ -21,7 +21,7 @@
     'begin',
     'expire',
     'note_fenced',
-    'note_leading',
+    'note_lead_reply',
     'resend',
 ]
 
@@ -108,7 +108,7 @@
     return [messages.Lead(attempt.chosen, attempt.term)]
 
 
-def note_leading(attempt: Attempt, reply: messages.LeadReply) -> None:
+def note_lead_reply(attempt: Attempt, reply: messages.LeadReply) -> None:
     """Take in the reply of the upstream that was told to lead."""
     if attempt.phase is not Phase.LEADING or reply.term != attempt.term:
         return
--- a/topazring/core/requests.py
+++ b/topazring/core/requests.py
@@ -6,7 +6,7 @@
 
 from topazring.core import log_positions
 
-__all__ = ['Kind', 'Profile', 'Request', 'Statement', 'WRITES']
+__all__ = ['Kind', 'Profile', 'Request', 'Statement', 'RECORDED_KINDS']
 
 
 class Kind(enum.StrEnum):
@@ -23,7 +23,7 @@
 
 # The kinds that leave a request record behind, so that their fate can be
 # found out after a loss.
-WRITES = frozenset({Kind.WRITE, Kind.COMMIT, Kind.SETTLE})
+RECORDED_KINDS = frozenset({Kind.WRITE, Kind.COMMIT, Kind.SETTLE})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/topazring/core/results.py
+++ b/topazring/core/results.py
@@ -12,8 +12,8 @@
 from topazring.core import view as views
 
 __all__ = [
-    'confirmed',
-    'executed',
+    'complete_confirmed',
+    'handle_executed',
 ]
 
 Out = list
@@ -25,11 +25,11 @@
 UNREACHED_PAUSE_MS = 50
 
 
-def executed(
+def handle_executed(
     state: states.OwnerState, now_ms: int, message: messages.Executed
 ) -> Out:
     """Take in what an upstream did with a request."""
-    state.in_work[message.upstream] -= 1
+    state.in_flight[message.upstream] -= 1
     work = state.work.get(message.key)
     if work is None or work.attempt != message.attempt:
         return _late(state, message)
@@ -77,7 +77,7 @@
         transaction = state.transactions.get(work.request.transaction)
         if transaction is None:
             # It was withdrawn or timed out while this statement ran.
-            return completion.lose_transaction_of(state, work)
+            return completion.fail_lost_transaction(state, work)
         transaction.busy = False
         done = outcomes.Done(result.rows, log_positions.ORIGIN, work.upstream)
         return completion.finish(state, work, done)
@@ -144,10 +144,15 @@
     if reason in (Reason.SLOTS_BUSY, Reason.CONNECTION_LIMIT):
         state.busy_until_ms[work.upstream] = now_ms + BUSY_PAUSE_MS
         return completion.requeue(state, now_ms, work, reason, False)
-    if work.request.kind in completion.IN_TRANSACTION and not work.settling:
+    if (
+        work.request.kind in completion.IN_TRANSACTION
+        and not work.is_resolving
+    ):
         return _lose_transaction(state, work, reason)
     if reason is Reason.CONFLICT:
-        return completion.finish(state, work, completion.refuse(reason, 0))
+        return completion.finish(
+            state, work, completion.make_refusal(reason, 0)
+        )
     state.busy_until_ms[work.upstream] = now_ms + REPLACED_PAUSE_MS
     return completion.requeue(state, now_ms, work, reason, False)
 
@@ -164,7 +169,9 @@
     if work.request.kind is Kind.ROLLBACK:
         done = outcomes.Done([], log_positions.ORIGIN, work.upstream)
         return outs + completion.finish(state, work, done)
-    return outs + completion.finish(state, work, completion.refuse(reason, 0))
+    return outs + completion.finish(
+        state, work, completion.make_refusal(reason, 0)
+    )
 
 
 def _sql_failed(
@@ -189,14 +196,14 @@
         return _lose_transaction(state, work, result.reason)
     if kind is Kind.COMMIT:
         state.transactions.pop(work.request.transaction, None)
-        if not result.sent and not work.settling:
+        if not result.sent and not work.is_resolving:
             return _lose_transaction(state, work, result.reason)
     if not result.sent:
         # No upstream was given work, so no budget is spent; the pause keeps
         # a dead primary from being dialled in a tight loop.
         state.busy_until_ms[work.upstream] = now_ms + UNREACHED_PAUSE_MS
         return completion.requeue(state, now_ms, work, result.reason, False)
-    if kind in requests.WRITES:
+    if kind in requests.RECORDED_KINDS:
         return completion.resolve_in_doubt(state, now_ms, work, result.reason)
     if kind is Kind.READ:
         work.maybe_ran = True
@@ -204,11 +211,11 @@
     return completion.requeue(state, now_ms, work, result.reason, True)
 
 
-def confirmed(
+def complete_confirmed(
     state: states.OwnerState, now_ms: int, waiter: rounds.Waiter
 ) -> Out:
     """Answer a request whose place a majority holds."""
-    if waiter.needs_place:
+    if waiter.needs_position:
         state.view.committed = max(state.view.committed, waiter.place)
     sample = log_positions.Sample(waiter.sent_ms, waiter.place)
     views.add_sample(state.view, sample)
@@ -218,7 +225,7 @@
     result = work.result
     if result.cancelled:
         return completion.finish(
-            state, work, completion.refuse(Reason.CANCELLED, 0)
+            state, work, completion.make_refusal(Reason.CANCELLED, 0)
         )
     if work.request.kind is Kind.READ:
         state.counters['primary_reads'] += 1
--- a/topazring/core/retries.py
+++ b/topazring/core/retries.py
@@ -6,7 +6,7 @@
 
 # At full load retries add no more than a tenth to what upstreams carry.
 SHARE = 0.1
-RESERVE = 10.0
+INITIAL_BALANCE = 10.0
 MOST = 100.0
 
 
@@ -19,7 +19,7 @@
     finite; the reserve lets a quiet database retry at all.
     """
 
-    balance: float = RESERVE
+    balance: float = INITIAL_BALANCE
 
 
 def earn(budget: Budget) -> None:
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -17,16 +17,16 @@
     'Rounds',
     'Waiter',
     'add_waiter',
-    'ask',
-    'forget_asks',
+    'start_round',
+    'forget_requests',
     'note_status',
-    'take_all',
-    'take_waiter',
+    'remove_all_waiters',
+    'remove_waiter',
 ]
 
 # Rounds in flight to one replica. More shorten the wait for the next round
 # at long lags, fewer let one round serve more requests.
-ASKS_IN_FLIGHT = 4
+MAX_ROUNDS_IN_FLIGHT = 4
 ASK_WAIT_MS = 1000
 # An ask that outlives its own wait by this much is given up.
 ASK_GRACE_MS = 1000
@@ -44,7 +44,7 @@
     place: log_positions.LogPosition
     sent_ms: int
     first_round: int
-    needs_place: bool = True
+    needs_position: bool = True
     holders: set[str] = dataclasses.field(default_factory=set)
 
 
@@ -74,12 +74,12 @@
     )
 
 
-def take_waiter(rounds: Rounds, key: int) -> Waiter | None:
+def remove_waiter(rounds: Rounds, key: int) -> Waiter | None:
     """Remove and return a waiter."""
     return rounds.waiters.pop(key, None)
 
 
-def take_all(rounds: Rounds) -> list[Waiter]:
+def remove_all_waiters(rounds: Rounds) -> list[Waiter]:
     """Remove and return all waiters: their term is over."""
     waiters = list(rounds.waiters.values())
     rounds.waiters.clear()
@@ -87,12 +87,12 @@
     return waiters
 
 
-def forget_asks(rounds: Rounds, upstream: str) -> None:
+def forget_requests(rounds: Rounds, upstream: str) -> None:
     """Forget what was asked on a control connection that was lost."""
     rounds.in_flight.pop(upstream, None)
 
 
-def ask(
+def start_round(
     rounds: Rounds, now_ms: int, replicas: list[str]
 ) -> list[messages.RequestStatus]:
     """Begin a round with each replica that has room and news to confirm."""
@@ -104,7 +104,7 @@
         waiting = _waiting_for(rounds, now_ms, name)
         if not waiting:
             continue
-        needed = [w.place for w in waiting if w.needs_place]
+        needed = [w.place for w in waiting if w.needs_position]
         place = max(needed, default=log_positions.ORIGIN)
         rounds.in_flight.setdefault(name, {})[round_id] = now_ms
         asks.append(
@@ -123,7 +123,7 @@
     expired_ms = now_ms - ASK_WAIT_MS - ASK_GRACE_MS
     for round_id in [r for r, at_ms in asked.items() if at_ms < expired_ms]:
         del asked[round_id]
-    if len(asked) >= ASKS_IN_FLIGHT:
+    if len(asked) >= MAX_ROUNDS_IN_FLIGHT:
         return []
     newest = max(asked, default=0)
     return [
@@ -150,7 +150,7 @@
     for waiter in rounds.waiters.values():
         if waiter.first_round > round_id:
             continue
-        if waiter.needs_place and not _holds(rounds, status, waiter.place):
+        if waiter.needs_position and not _holds(rounds, status, waiter.place):
             continue
         waiter.holders.add(status.upstream)
         if len(waiter.holders) + 1 >= majority:
--- a/topazring/core/state.py
+++ b/topazring/core/state.py
@@ -62,7 +62,7 @@
     # Sent at least once without an answer: it may have run.
     maybe_ran: bool = False
     # The record at the primary is asked instead of running it again.
-    settling: bool = False
+    is_resolving: bool = False
     # Why the last attempt ended, to be told if no other succeeds.
     last_reason: outcomes.Reason = outcomes.Reason.NO_PRIMARY
     result: messages.Ran | None = None
@@ -101,7 +101,7 @@
     urgent: collections.deque[int] = dataclasses.field(
         default_factory=collections.deque
     )
-    in_work: dict[str, int] = dataclasses.field(default_factory=dict)
+    in_flight: dict[str, int] = dataclasses.field(default_factory=dict)
     transactions: dict[int, Transaction] = dataclasses.field(
         default_factory=dict
     )
@@ -121,18 +121,20 @@
     )
     # The highest term that another owner told of, and since when.
     peer_term: int = 0
-    peer_term_ms: int = 0
-    told_suspicion_ms: int = -10_000
-    suspected_ms: int | None = None
+    peer_term_since_ms: int = 0
+    suspicion_sent_ms: int = -10_000
+    suspected_since_ms: int | None = None
     # Since when this owner, and perhaps no other, cannot reach the primary.
-    cut_off_since_ms: int | None = None
+    unreachable_since_ms: int | None = None
     grants: set[int] = dataclasses.field(default_factory=set)
     used_terms: set[int] = dataclasses.field(default_factory=set)
-    asked_grants_ms: int = -10_000
+    grants_requested_ms: int = -10_000
     attempt: promotion.Attempt | None = None
     retry_promotion_ms: int = 0
-    asked_ms: dict[str, int] = dataclasses.field(default_factory=dict)
-    leaving: frozenset[str] = frozenset()
+    status_requested_ms: dict[str, int] = dataclasses.field(
+        default_factory=dict
+    )
+    leaving_upstreams: frozenset[str] = frozenset()
     handing_over_since_ms: int | None = None
     next_sample_key: int = -1
     counters: collections.Counter[str] = dataclasses.field(
@@ -161,5 +163,5 @@
         if state.busy_until_ms.get(name, 0) > now_ms:
             free[name] = 0
             continue
-        free[name] = state.limits.slots - state.in_work.get(name, 0)
+        free[name] = state.limits.slots - state.in_flight.get(name, 0)
     return free
--- a/topazring/core/suspicion.py
+++ b/topazring/core/suspicion.py
@@ -14,9 +14,9 @@
 __all__ = [
     'Evidence',
     'Verdict',
-    'alarmed',
+    'has_failure',
     'failed',
-    'forget',
+    'reset',
     'judge',
     'note_alive',
     'note_failure',
@@ -29,11 +29,11 @@
 ABSENT_MS = 400
 # Silence towards all replicas that counts even if the primary answers us.
 # It is longer: there is no failure of our own to go with it.
-CUT_OFF_SILENCE_MS = 650
+ISOLATED_PRIMARY_SILENCE_MS = 650
 # A replica that heard from its primary so lately speaks for it.
 HEARD_MS = 150
 # A replica's word is taken for that long.
-WITNESS_AGE_MS = 800
+MAX_REPORT_AGE_MS = 800
 # A local pause as long as this makes silence seen meanwhile worthless.
 PAUSE_MS = 150
 # After a pause, silence counts again once new probes had time to answer.
@@ -46,7 +46,7 @@
     ALIVE = 'alive'
     UNKNOWN = 'unknown'
     # It cannot be reached from here, while its replicas hear from it.
-    OURS = 'ours'
+    LOCAL_FAILURE = 'ours'
     SUSPECT = 'suspect'
 
 
@@ -60,7 +60,7 @@
     blind_until_ms: int = 0
 
 
-def forget(evidence: Evidence, now_ms: int) -> None:
+def reset(evidence: Evidence, now_ms: int) -> None:
     """Start anew with another primary."""
     evidence.refused = 0
     evidence.silent_new = 0
@@ -69,7 +69,7 @@
 
 def note_alive(evidence: Evidence, now_ms: int) -> None:
     """Count an answer of the primary."""
-    forget(evidence, now_ms)
+    reset(evidence, now_ms)
 
 
 def note_failure(evidence: Evidence, now_ms: int, kind: str) -> None:
@@ -101,7 +101,7 @@
     return evidence.refused >= 2 or evidence.silent_new >= 1
 
 
-def alarmed(evidence: Evidence) -> bool:
+def has_failure(evidence: Evidence) -> bool:
     """Say whether anything at all went wrong since the last answer."""
     return evidence.refused >= 1 or evidence.silent_new >= 1
 
@@ -127,7 +127,7 @@
         )
     if lost and len(silences) >= needed - 1 and least <= HEARD_MS:
         return (
-            Verdict.OURS,
+            Verdict.LOCAL_FAILURE,
             f'{view.primary} cannot be reached from here, but its replicas '
             f'heard from it {least} ms ago',
         )
@@ -137,7 +137,7 @@
             f'{view.primary} cannot be reached from here, but a majority '
             f'does not confirm that it is lost ({silences})',
         )
-    if len(silences) >= needed and least >= CUT_OFF_SILENCE_MS:
+    if len(silences) >= needed and least >= ISOLATED_PRIMARY_SILENCE_MS:
         return (
             Verdict.SUSPECT,
             f'{view.primary} answers but its replicas have not heard from '
@@ -165,7 +165,9 @@
 
 
 def _is_recent(seen: views.UpstreamView, now_ms: int) -> bool:
-    return seen.seen_ms is not None and now_ms - seen.seen_ms <= WITNESS_AGE_MS
+    return (
+        seen.seen_ms is not None and now_ms - seen.seen_ms <= MAX_REPORT_AGE_MS
+    )
 
 
 def _replica_silences(view: views.GroupView, now_ms: int) -> list[int]:
--- a/topazring/core/tests/oracle.py
+++ b/topazring/core/tests/oracle.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Asked:
+class Submission:
     """Hold a submitted request and what the oracle needs to judge it."""
 
     owner: str
@@ -46,7 +46,7 @@
     def __init__(self, group: dict[str, logs.Log], sessions: list[Session]):
         self.logs = group
         self.sessions = sessions
-        self.asked: dict[tuple[str, int], Asked] = {}
+        self.submissions: dict[tuple[str, int], Submission] = {}
         # Every write's organisation and id.
         self.ids: list[tuple[str, str]] = []
         self.led: dict[int, str] = {}
@@ -73,14 +73,16 @@
             if organisation == who.organisation and at_ms <= oldest_ms
         }
         seen = frozenset(must_see | who.seen)
-        asked = Asked(name, request, session, now, seen)
-        self.asked[(name, request.key)] = asked
+        asked = Submission(name, request, session, now, seen)
+        self.submissions[(name, request.key)] = asked
 
     def forget(self, name: str) -> None:
         """Note that an owner's process ended: its callers know nothing."""
-        self.asked = {k: v for k, v in self.asked.items() if v.owner != name}
+        self.submissions = {
+            k: v for k, v in self.submissions.items() if v.owner != name
+        }
 
-    def note_lead(self, term: int, upstream: str) -> None:
+    def record_leader(self, term: int, upstream: str) -> None:
         """Note that an upstream leads a term, the only one to do so."""
         known = self.led.setdefault(term, upstream)
         if known != upstream:
@@ -112,7 +114,7 @@
 
     def answered(self, now: int, name: str, out: messages.Answer) -> None:
         """Judge an answer, which has to be the only one."""
-        asked = self.asked.get((name, out.key))
+        asked = self.submissions.get((name, out.key))
         if asked is None or asked.answered:
             raise Violation(f'{out.key} is answered twice or unasked')
         asked.answered = True
@@ -130,7 +132,7 @@
                 self.counts['unknown'] += 1
         self.check_promises()
 
-    def _deny(self, asked: Asked, reason: Reason) -> None:
+    def _deny(self, asked: Submission, reason: Reason) -> None:
         """Note what was said not to have run.
 
         A cancelled id never runs. Any other refusal speaks of its own copy:
@@ -142,7 +144,9 @@
         elif asked.request.repeat:
             raise Violation(f'a repeat of {key} was refused as not run')
 
-    def _judge_done(self, now: int, asked: Asked, done: outcomes.Done) -> None:
+    def _judge_done(
+        self, now: int, asked: Submission, done: outcomes.Done
+    ) -> None:
         session = self.sessions[asked.session]
         request = asked.request
         if request.kind in (Kind.BEGIN, Kind.EXECUTE, Kind.ROLLBACK):
--- a/topazring/core/tests/test_limits.py
+++ b/topazring/core/tests/test_limits.py
@@ -49,8 +49,8 @@
     def test_short_line_does_not_wait_for_a_long_one(self):
         for key in range(10):
             admission.push(self.queue, 'flood', key, key)
-        long = admission.estimate_wait(self.queue, 'flood', 1, 5.0)
-        short = admission.estimate_wait(self.queue, 'other', 1, 5.0)
+        long = admission.estimate_wait_ms(self.queue, 'flood', 1, 5.0)
+        short = admission.estimate_wait_ms(self.queue, 'other', 1, 5.0)
         self.assertEqual((50.0, 5.0), (long, short))
 
     def test_long_line_waits_for_others_yet_to_come(self):
@@ -63,7 +63,7 @@
             admission.push(self.queue, 'flood', key, key)
         for turn in range(4):
             admission.pop(self.queue, turn * 100)
-        wait = admission.estimate_wait(self.queue, 'flood', 1, 1.0)
+        wait = admission.estimate_wait_ms(self.queue, 'flood', 1, 1.0)
         self.assertGreaterEqual(wait, 4 * 100 * 0.9)
 
 
@@ -75,12 +75,12 @@
         spent = 0
         while retries.spend(budget):
             spent += 1
-        self.assertEqual(int(retries.RESERVE), spent)
+        self.assertEqual(int(retries.INITIAL_BALANCE), spent)
         for _ in range(100):
             retries.earn(budget)
         while retries.spend(budget):
             spent += 1
-        self.assertLessEqual(spent, retries.RESERVE + 11)
+        self.assertLessEqual(spent, retries.INITIAL_BALANCE + 11)
 
 
 class TestSuspicion(testtools.TestCase):
@@ -97,7 +97,7 @@
         status = messages.Status(
             name, 1, leads, log_positions.LogPosition(1, 1), silent_ms
         )
-        views.observe(self.view, now_ms, status)
+        views.apply_status(self.view, now_ms, status)
 
     def replicas(self, silent_ms, now_ms=1000):
         for name in ('u2', 'u3'):
@@ -123,7 +123,7 @@
         primary's.
         """
         suspicion.note_failure(self.evidence, 1000, 'silent_new')
-        self.assertEqual(suspicion.Verdict.OURS, self.judge())
+        self.assertEqual(suspicion.Verdict.LOCAL_FAILURE, self.judge())
 
     def test_silence_of_an_old_connection_says_nothing(self):
         suspicion.note_failure(self.evidence, 1000, 'silent')
@@ -131,7 +131,7 @@
         self.assertEqual(suspicion.Verdict.ALIVE, self.judge())
 
     def test_cut_off_from_its_replicas(self):
-        self.replicas(suspicion.CUT_OFF_SILENCE_MS)
+        self.replicas(suspicion.ISOLATED_PRIMARY_SILENCE_MS)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge())
 
     def test_own_pause_discounts_silence(self):
@@ -149,7 +149,7 @@
         for _ in range(2):
             suspicion.note_failure(self.evidence, 1000, 'refused')
         self.replicas(600)
-        later = 1000 + suspicion.WITNESS_AGE_MS + 1
+        later = 1000 + suspicion.MAX_REPORT_AGE_MS + 1
         self.assertEqual(suspicion.Verdict.UNKNOWN, self.judge(later))
 
 
--- a/topazring/core/tests/test_members.py
+++ b/topazring/core/tests/test_members.py
@@ -40,7 +40,7 @@
         state = members.Members()
         members.record_failure(state, 'p1', 1000)
         self.assertFalse(members.is_reachable(state, 'p1', 1500))
-        later = 1000 + members.FAILED_MS + 1
+        later = 1000 + members.FAILURE_BACKOFF_MS + 1
         self.assertTrue(members.is_reachable(state, 'p1', later))
 
     def test_leaving_proxies_own_nothing(self):
--- a/topazring/core/tests/test_owner_fuzz.py
+++ b/topazring/core/tests/test_owner_fuzz.py
@@ -6,10 +6,10 @@
 import testtools
 
 from topazring.bench import ablations
-from topazring.core.tests import world
+from topazring.core.tests import simulation
 
-OWNERS = strategies.sampled_from(world.OWNERS)
-UPSTREAMS = strategies.sampled_from(world.UPSTREAMS)
+OWNERS = strategies.sampled_from(simulation.OWNERS)
+UPSTREAMS = strategies.sampled_from(simulation.UPSTREAMS)
 INDEX = strategies.integers(0, 999)
 SESSIONS = strategies.integers(0, 3)
 # A rule that the walk can tell is caught well before so many walks.
@@ -25,8 +25,8 @@
 
     def __init__(self):
         super().__init__()
-        self.world = world.World()
-        self.world.calm(20)
+        self.world = simulation.Simulation()
+        self.world.run_without_faults(20)
 
     @stateful.rule(ms=strategies.sampled_from((1, 5, 20, 60, 200, 700)))
     def advance(self, ms):
@@ -68,13 +68,13 @@
 
     @stateful.rule()
     def false_alarm(self):
-        self.world.silence_lie = not self.world.silence_lie
-        for name in world.OWNERS:
-            self.world.suspect(name, 'silent_new')
+        self.world.reports_false_silence = not self.world.reports_false_silence
+        for name in simulation.OWNERS:
+            self.world.fail_probe(name, 'silent_new')
 
     @stateful.rule(owner=OWNERS, count=SESSIONS)
     def see_owners(self, owner, count):
-        self.world.see_owners(owner, count)
+        self.world.change_owners(owner, count)
 
     @stateful.rule(owner=OWNERS)
     def pause(self, owner):
@@ -89,7 +89,7 @@
         self.world.store = store
 
     def teardown(self):
-        self.world.settle_down()
+        self.world.heal_and_check()
 
 
 class TestOwners(testtools.TestCase):
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -25,7 +25,7 @@
         self.state = rounds.Rounds(term=2)
 
     def ask(self, now_ms=0):
-        return rounds.ask(self.state, now_ms, ['u2', 'u3'])
+        return rounds.start_round(self.state, now_ms, ['u2', 'u3'])
 
     def test_one_replica_of_three_confirms(self):
         rounds.add_waiter(self.state, 7, Place(2, 5), 0)
@@ -87,7 +87,7 @@
             rounds.add_waiter(self.state, key, Place(2, key + 1), 0)
             self.ask()
         for asked in self.state.in_flight.values():
-            self.assertEqual(rounds.ASKS_IN_FLIGHT, len(asked))
+            self.assertEqual(rounds.MAX_ROUNDS_IN_FLIGHT, len(asked))
 
     def test_partial_reply_confirms_the_earlier_place(self):
         rounds.add_waiter(self.state, 1, Place(2, 5), 0)
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -64,7 +64,7 @@
 
     def suspect(self):
         """Let the group be without a primary until this owner says so."""
-        while self.state.suspected_ms is None:
+        while self.state.suspected_since_ms is None:
             self.see_all(0)
             self.pass_ms(TICK_MS)
 
@@ -96,7 +96,7 @@
     def test_peer_that_is_ahead_and_gone_is_not_waited_for(self):
         self.suspect()
         self.step(messages.PeerSuspicion('p2', 2, True))
-        for _ in range(failover.PEER_AHEAD_MS // 50 + 2):
+        for _ in range(failover.PEER_PROMOTION_WAIT_MS // 50 + 2):
             self.see_all(0)
             self.pass_ms(50)
         fences = self.sent(messages.Fence)
@@ -125,7 +125,7 @@
             place = log_positions.LogPosition(term, 0)
             silent = 0 if leads else silent_ms
             status = messages.Status(name, term, leads, place, silent)
-            views.observe(self.view, now_ms, status)
+            views.apply_status(self.view, now_ms, status)
 
     def judge(self, now_ms):
         return suspicion.judge(suspicion.Evidence(), self.view, now_ms)[0]
@@ -136,6 +136,6 @@
 
     def test_primary_that_never_reached_its_replicas(self):
         self.see_all(2, 1050, silent_ms=853)
-        later = 1050 + suspicion.CUT_OFF_SILENCE_MS
+        later = 1050 + suspicion.ISOLATED_PRIMARY_SILENCE_MS
         self.see_all(2, later, silent_ms=later - 200)
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge(later))
--- a/topazring/core/tests/walks.py
+++ b/topazring/core/tests/walks.py
@@ -2,7 +2,7 @@
 
 import random
 
-from topazring.core.tests import world as worlds
+from topazring.core.tests import simulation as worlds
 
 OWNERS = worlds.OWNERS
 UPSTREAMS = worlds.UPSTREAMS
@@ -25,26 +25,26 @@
 )
 
 
-def walk(seed: int, steps: int) -> worlds.World:
+def walk(seed: int, steps: int) -> worlds.Simulation:
     """Walk at random; raise Violation when a promise is broken."""
     rng = random.Random(seed)
-    world = worlds.World(seed)
-    world.calm(20)
+    world = worlds.Simulation(seed)
+    world.run_without_faults(20)
     names = [name for name, _ in ACTIONS]
     weights = [weight for _, weight in ACTIONS]
     for action in rng.choices(names, weights, k=steps):
         act(world, action, rng)
-    world.settle_down()
+    world.heal_and_check()
     return world
 
 
-def act(world: worlds.World, action: str, rng: random.Random) -> None:
+def act(world: worlds.Simulation, action: str, rng: random.Random) -> None:
     """Do one thing, with what it needs taken from `rng`."""
     match action:
         case 'advance':
             world.advance(rng.choice((1, 5, 20, 60, 200, 700)))
         case 'deliver':
-            for _ in range(rng.randrange(1, 2 + len(world.mail) // 2)):
+            for _ in range(rng.randrange(1, 2 + len(world.in_transit) // 2)):
                 late = rng.random() < 0.2
                 world.deliver(rng.randrange(1000) if late else 0)
         case 'replicate':
@@ -68,14 +68,14 @@
             world.lose(rng.randrange(1000), rng.random() < 0.5)
         case 'suspect':
             kind = rng.choice(('refused', 'silent_new'))
-            world.suspect(rng.choice(OWNERS), kind)
+            world.fail_probe(rng.choice(OWNERS), kind)
         case 'lie':
             # A false alarm: replicas and owners agree on it.
-            world.silence_lie = not world.silence_lie
+            world.reports_false_silence = not world.reports_false_silence
             for name in OWNERS:
-                world.suspect(name, 'silent_new')
+                world.fail_probe(name, 'silent_new')
         case 'see_owners':
-            world.see_owners(rng.choice(OWNERS), rng.randrange(4))
+            world.change_owners(rng.choice(OWNERS), rng.randrange(4))
         case 'pause':
             world.pause(rng.choice(OWNERS))
         case 'store':
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -12,7 +12,7 @@
     'add_sample',
     'make_view',
     'majority',
-    'observe',
+    'apply_status',
     'staleness_position',
 ]
 
@@ -34,7 +34,7 @@
     # How long this replica takes to reach a place, as a moving average.
     lag_ms: float = 0.0
     # The sample whose arrival at this replica is measured next.
-    awaited: log_positions.Sample | None = None
+    lag_sample: log_positions.Sample | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -62,7 +62,9 @@
     return log_positions.majority_of(len(view.upstreams))
 
 
-def observe(view: GroupView, now_ms: int, status: messages.Status) -> bool:
+def apply_status(
+    view: GroupView, now_ms: int, status: messages.Status
+) -> bool:
     """Take in a status; say whether the term or the primary changed."""
     seen = view.upstreams.get(status.upstream)
     if seen is None or status.accepted_term < seen.accepted_term:
@@ -105,11 +107,11 @@
 
 
 def _measure_lag(seen: UpstreamView, now_ms: int) -> None:
-    if seen.awaited is None or seen.place < seen.awaited.place:
+    if seen.lag_sample is None or seen.place < seen.lag_sample.place:
         return
-    measured = now_ms - seen.awaited.sent_ms
+    measured = now_ms - seen.lag_sample.sent_ms
     seen.lag_ms += (measured - seen.lag_ms) * 0.3
-    seen.awaited = None
+    seen.lag_sample = None
 
 
 def add_sample(view: GroupView, sample: log_positions.Sample) -> None:
@@ -122,8 +124,8 @@
         return
     view.samples.append(sample)
     for seen in view.upstreams.values():
-        if seen.awaited is None and seen.name != view.primary:
-            seen.awaited = sample
+        if seen.lag_sample is None and seen.name != view.primary:
+            seen.lag_sample = sample
 
 
 def staleness_position(
