--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -99,8 +99,8 @@
         self.pending: collections.deque[ports.CallerItem] = collections.deque()
         self.session: sessions.Session | None = None
         self.busy = False
-        self.idle_since_ms = clock.suspended_ms()
-        dialling.keep_alive(stream.socket)
+        self.idle_since_ms = clock.boottime_ms()
+        dialling.enable_keepalive(stream.socket)
 
     async def serve(self) -> None:
         """Serve until the caller or this process ends the session."""
@@ -113,7 +113,7 @@
                 if not await self._handle_item(item):
                     break
                 self.busy = False
-                self.idle_since_ms = clock.suspended_ms()
+                self.idle_since_ms = clock.boottime_ms()
         except iostream.StreamClosedError:
             # The caller disconnected; its open transaction is aborted below.
             pass
@@ -133,7 +133,7 @@
         """Return whether the session can be closed without interruption."""
         if self.busy or self.pending:
             return False
-        idle_ms = clock.suspended_ms() - self.idle_since_ms
+        idle_ms = clock.boottime_ms() - self.idle_since_ms
         match self.host.shutdown_phase:
             case ShutdownPhase.RUNNING:
                 return False
@@ -256,7 +256,7 @@
             self.host.note(str(statement.verb), refusal, 0)
             await self._send_answer(refusal)
             return True
-        began_ms = clock.suspended_ms()
+        began_ms = clock.boottime_ms()
         transaction_before = session.transaction
         result = sessions.handle_statement(
             session,
@@ -272,7 +272,7 @@
         else:
             outcome = await self.host.run(result)
             sessions.record_outcome(session, result, outcome)
-        took_ms = clock.suspended_ms() - began_ms
+        took_ms = clock.boottime_ms() - began_ms
         self.host.note(str(statement.verb), outcome, took_ms)
         await self._send_answer(outcome)
         return True
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -122,7 +122,7 @@
         if wait_ms:
             await self._wait_for_change(after, wait_ms)
         seen = self.known.seen
-        age_ms = max(0, clock.suspended_ms() - self.confirmed_ms)
+        age_ms = max(0, clock.boottime_ms() - self.confirmed_ms)
         complete, changes = revisions.missing_changes(self.known, after)
         return peers.PeerAnswer(seen, complete, changes, self.follows, age_ms)
 
@@ -144,7 +144,7 @@
 
     async def _follow_forever(self) -> None:
         failures = 0
-        started_ms = clock.suspended_ms()
+        started_ms = clock.boottime_ms()
         while True:
             answer = await self._poll()
             if isinstance(
@@ -152,10 +152,10 @@
             ):
                 failures = 0
                 self._record_available(answer)
-                if clock.suspended_ms() - started_ms < STARTUP_S * 1000:
+                if clock.boottime_ms() - started_ms < STARTUP_S * 1000:
                     await asyncio.sleep(STARTUP_BATCH_S)
                 continue
-            if isinstance(answer, key_value.HistoryLost):
+            if isinstance(answer, key_value.HistoryCompacted):
                 self.log.emit(
                     'directory',
                     'history lost',
@@ -210,8 +210,8 @@
         return self.follower_client.watch_ms(self.listing.proxies.values())
 
     async def _read_everything(self):
-        sent_ms = clock.suspended_ms()
-        answer = await self.adapter.store.everything(ALL_KEYS_PREFIX)
+        sent_ms = clock.boottime_ms()
+        answer = await self.adapter.store.read_all(ALL_KEYS_PREFIX)
         if isinstance(answer, key_value.Changes):
             self.history_lost = False
             self._apply_snapshot(answer.changes, answer.upto)
@@ -221,7 +221,7 @@
                 inputs={
                     'entries': len(answer.changes),
                     'revision': answer.upto,
-                    'took_ms': clock.suspended_ms() - sent_ms,
+                    'took_ms': clock.boottime_ms() - sent_ms,
                 },
             )
         return answer
@@ -243,7 +243,7 @@
     async def _read_now(self) -> bool:
         """Read changes without waiting; return whether the store answered."""
         answer = await self._read_changes(0)
-        if isinstance(answer, key_value.HistoryLost):
+        if isinstance(answer, key_value.HistoryCompacted):
             answer = await self._read_everything()
         return isinstance(answer, key_value.Changes)
 
@@ -294,7 +294,7 @@
 
     def _record_unavailable(self, answer: key_value.Unavailable) -> None:
         if self.unavailable_since_ms is None:
-            self.unavailable_since_ms = clock.suspended_ms()
+            self.unavailable_since_ms = clock.boottime_ms()
             # Peers that wait here for changes have to choose another source.
             self._notify_waiters()
             self.log.emit(
@@ -304,7 +304,7 @@
     def _record_available(
         self, answer: key_value.Changes | follower_client.FollowerAnswer
     ) -> None:
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if self.unavailable_since_ms is not None:
             away_ms = now_ms - self.unavailable_since_ms
             self.unavailable_since_ms = None
@@ -330,7 +330,7 @@
     def _apply(self, changes: list[revisions.Change], upto: int) -> None:
         new = revisions.merge(self.known, self.known.seen, upto, changes)
         self.first_read.set()
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         services: set[str] = set()
         for change in new or ():
             services |= self._apply_change(now_ms, change)
@@ -399,7 +399,7 @@
     async def _expire_forever(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             self._notify_services(
                 listings.remove_expired(
                     self.listing, now_ms, self.unavailable_since_ms
--- a/topazring/pooler/follower_client.py
+++ b/topazring/pooler/follower_client.py
@@ -64,7 +64,7 @@
         addresses = self._addresses(proxies)
         names = addresses.keys() | {self.name}
         while True:
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             source = followers.choose_follower(
                 self.backoff, now_ms, self.name, names
             )
@@ -111,7 +111,7 @@
         return answer.follows and answer.age_ms <= self.wait_ms + AGE_SLACK_MS
 
     def _reject(self, source: str, answer: peers.PeerAnswer | None) -> None:
-        followers.record_failure(self.backoff, clock.suspended_ms(), source)
+        followers.record_failure(self.backoff, clock.boottime_ms(), source)
         inputs = {'follower': source, 'answered': answer is not None}
         if answer is not None:
             inputs |= {'follows': answer.follows, 'age_ms': answer.age_ms}
--- a/topazring/pooler/group_task.py
+++ b/topazring/pooler/group_task.py
@@ -119,7 +119,7 @@
     def _step(self, message: object) -> None:
         try:
             for out in self.kind.step(
-                self.state, clock.suspended_ms(), message
+                self.state, clock.boottime_ms(), message
             ):
                 self._execute(out)
         except Exception as error:
@@ -131,7 +131,7 @@
         Ending the process would cut the sessions of callers of its other
         groups: with a restart, nine of ten groups lose nothing.
         """
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         self._log_broken_invariant(error)
         full = len(self.restarts_ms) == MAX_RESTARTS
         if full and now_ms - self.restarts_ms[0] < RESTART_WINDOW_MS:
@@ -229,11 +229,11 @@
         self.post(messages.UpstreamListRead(out.token, is_read))
 
     async def _tick_forever(self) -> None:
-        before_ms = clock.suspended_ms()
+        before_ms = clock.boottime_ms()
         while True:
             period_ms = groups_synchronous.tick_interval_ms(self.state)
             await asyncio.sleep(period_ms / 1000)
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             paused_ms = now_ms - before_ms - period_ms
             before_ms = now_ms
             self.post(messages.Tick(max(0, paused_ms)))
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -84,10 +84,10 @@
         answer = asyncio.get_running_loop().create_future()
         if not self.pending:
             # Silence counts from the first pending request.
-            self.last_received_ms = clock.suspended_ms()
+            self.last_received_ms = clock.boottime_ms()
         self.pending[number] = answer
         self.has_pending.set()
-        left_ms = deadline_ms - clock.suspended_ms() - RETURN_MARGIN_MS
+        left_ms = deadline_ms - clock.boottime_ms() - RETURN_MARGIN_MS
         hop_frames.write(
             stream, hop_frames.RequestFrame(number, left_ms, request)
         )
@@ -95,7 +95,7 @@
         if isinstance(result, forwarding.LinkLost):
             return result
         outcome, load.waiting = result
-        load.reported_ms = clock.suspended_ms()
+        load.reported_ms = clock.boottime_ms()
         return outcome
 
     def withdraw(self, service: str, transaction: int) -> None:
@@ -124,7 +124,7 @@
         finally:
             self.connecting = None
         self.stream = stream
-        self.last_received_ms = clock.suspended_ms()
+        self.last_received_ms = clock.boottime_ms()
         for work in (
             self._read_forever(stream),
             self._watch_for_silence(stream),
@@ -135,11 +135,11 @@
         return stream
 
     async def _read_forever(self, stream: iostream.IOStream) -> None:
-        reader = framing.Reader(stream)
+        reader = framing.FrameReader(stream)
         try:
             while True:
                 frame = await hop_frames.read(reader)
-                self.last_received_ms = clock.suspended_ms()
+                self.last_received_ms = clock.boottime_ms()
                 if isinstance(frame, hop_frames.AnswerFrame):
                     self._handle_answer(frame)
         except (OSError, iostream.StreamClosedError, ValueError):
@@ -169,7 +169,7 @@
             if not self.pending:
                 self.has_pending.clear()
                 continue
-            silent_ms = clock.suspended_ms() - self.last_received_ms
+            silent_ms = clock.boottime_ms() - self.last_received_ms
             if silent_ms >= SILENCE_TIMEOUT_MS:
                 stream.close()
             elif silent_ms >= PING_AFTER_MS:
--- a/topazring/pooler/hop_frames.py
+++ b/topazring/pooler/hop_frames.py
@@ -110,11 +110,11 @@
     raise ValueError(f'no such outcome: {frame.kind[:20]}')
 
 
-async def read(reader: framing.Reader) -> Frame:
+async def read(reader: framing.FrameReader) -> Frame:
     """Return the next frame; raise ValueError if it is malformed."""
     return _decode(await reader.read())
 
 
 def write(stream: iostream.IOStream, frame: Frame) -> None:
     """Send a frame; the reader detects a stream that has ended."""
-    framing.write(stream, _encode(frame))
+    framing.write_frame(stream, _encode(frame))
--- a/topazring/pooler/hop_server.py
+++ b/topazring/pooler/hop_server.py
@@ -73,10 +73,10 @@
         self, stream: iostream.IOStream, address: tuple
     ) -> None:
         """Serve one proxy until its stream ends; abort its transactions."""
-        dialling.keep_alive(stream.socket)
+        dialling.enable_keepalive(stream.socket)
         peer_stream = _PeerStream(self.host, stream)
         self.peer_streams[stream] = peer_stream
-        reader = framing.Reader(stream)
+        reader = framing.FrameReader(stream)
         try:
             while True:
                 peer_stream.handle_frame(await hop_frames.read(reader))
@@ -163,7 +163,7 @@
             frame.request,
             key=self.host.next_key(),
             policy=policy,
-            arrived_ms=clock.suspended_ms(),
+            arrived_ms=clock.boottime_ms(),
             transaction=transaction,
         )
 
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -215,7 +215,7 @@
 
     def _apply_listing_changes(self, services: set[str]) -> None:
         listing = self.directory.listing
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         configuration = listing.configuration
         if configuration is None:
             return
--- a/topazring/pooler/promotion_lease.py
+++ b/topazring/pooler/promotion_lease.py
@@ -115,7 +115,7 @@
         """Release the lease and leave it to other proxies for a while."""
         if not self.holds:
             return
-        self.yielded_ms = clock.suspended_ms()
+        self.yielded_ms = clock.boottime_ms()
         lease, self.lease = self.lease, 0
         self._record_lost(why)
         if lease:
@@ -194,7 +194,7 @@
                 await self._wait_for_change()
 
     def _is_free(self) -> bool:
-        if clock.suspended_ms() - self.yielded_ms < YIELD_PAUSE_MS:
+        if clock.boottime_ms() - self.yielded_ms < YIELD_PAUSE_MS:
             return False
         has_read = self.directory.known.seen > 0
         return has_read and self.directory.own_value(LEASE_KEY) is None
@@ -216,7 +216,7 @@
         await asyncio.sleep(pause_s)
         if not self._is_free():
             return
-        sent_ms = clock.suspended_ms()
+        sent_ms = clock.boottime_ms()
         leased = await self.store.lease(TTL_MS)
         if not isinstance(leased, key_value.Leased):
             await asyncio.sleep(RETRY_S)
@@ -272,14 +272,14 @@
         if successor:
             self._give_up(f'{successor} holds it')
             return
-        sent_ms = clock.suspended_ms()
-        answer = await self.store.keep(self.lease)
+        sent_ms = clock.boottime_ms()
+        answer = await self.store.renew_lease(self.lease)
         if isinstance(answer, key_value.Leased):
             self.valid_until_ms = sent_ms + TTL_MS
         elif isinstance(answer, key_value.Missing):
             self._give_up('the lease has ended')
         elif (
-            clock.suspended_ms()
+            clock.boottime_ms()
             > self.valid_until_ms + MAX_HOLD_BEYOND_LEASE_MS
         ):
             self._give_up('the service has been away for too long')
--- a/topazring/pooler/router.py
+++ b/topazring/pooler/router.py
@@ -108,7 +108,7 @@
         queue_length = functools.partial(
             self._queue_length, request.policy.service
         )
-        while not self.closed and clock.suspended_ms() < deadline_ms:
+        while not self.closed and clock.boottime_ms() < deadline_ms:
             owner = forwarding.next_owner(
                 plan,
                 owned,
@@ -138,7 +138,7 @@
         if forwarding.is_final(request, answer):
             return answer
         if owner in self.peers:
-            until_ms = clock.suspended_ms() + REFUSAL_AVOID_MS
+            until_ms = clock.boottime_ms() + REFUSAL_AVOID_MS
             self.peers[owner].refused_until_ms[request.policy.service] = (
                 until_ms
             )
@@ -191,7 +191,7 @@
         if not isinstance(answer, forwarding.LinkLost):
             peer.failures = 0
             return
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if now_ms < peer.avoid_until_ms:
             return
         avoid_ms = min(MIN_AVOID_MS * 2**peer.failures, MAX_AVOID_MS)
@@ -205,7 +205,7 @@
         if owner == forwarding.THIS_PROXY:
             return self.local.queued_locally(service)
         peer = self.peers.get(owner)
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if peer is None or now_ms < peer.avoid_until_ms:
             return None
         if now_ms < peer.refused_until_ms.get(service, 0):
--- a/topazring/pooler/shutdown.py
+++ b/topazring/pooler/shutdown.py
@@ -73,7 +73,7 @@
     operations are refused and requests in flight are answered.
     """
     grace_s = host.config.grace_s
-    began_ms = clock.suspended_ms()
+    began_ms = clock.boottime_ms()
     host.exit_deadline_ms = began_ms + int((grace_s - EXIT_MARGIN_S) * 1000)
     host.log.emit(
         'process', 'stop begins', inputs={'sessions': len(host.callers)}
@@ -93,7 +93,7 @@
     host: ShutdownHost, began_ms: int, after_s: float
 ) -> None:
     """Close idle sessions until a time, or until no work is left."""
-    while clock.suspended_ms() - began_ms < after_s * 1000:
+    while clock.boottime_ms() - began_ms < after_s * 1000:
         if host.shutdown_phase is not caller_task.ShutdownPhase.RUNNING:
             for caller in list(host.callers):
                 caller.close_if_idle()
@@ -107,8 +107,8 @@
     host.router.close()
     for group in host.groups.values():
         group.close()
-    until_ms = clock.suspended_ms() + int(FLUSH_TIMEOUT_S * 1000)
-    while clock.suspended_ms() < until_ms:
+    until_ms = clock.boottime_ms() + int(FLUSH_TIMEOUT_S * 1000)
+    while clock.boottime_ms() < until_ms:
         answering = any(caller.busy for caller in host.callers)
         if not answering and not host.hop_server.is_busy():
             return
