--- a/topazring/pooler/tests/fleet.py
+++ b/topazring/pooler/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Run the directories of a data centre's proxies before one service."""
+"""Run the directories of one data centre's proxies against a fake store."""
 
 import asyncio
 import contextlib
@@ -17,13 +17,13 @@
 
 CENTRE = 'cork'
 CONFIGURATION = 'configuration'
-# Within so long a change has to be in force.
+# A change has to be in force within this time.
 IN_FORCE_MS = 900
 STARTS_S = 20.0
 
 
 class Service:
-    """Hold keys under one revision, and forget history on demand."""
+    """Fake store with revisions; drops its history on demand."""
 
     def __init__(self):
         self.revision = 0
@@ -45,45 +45,47 @@
             self.changed.notify_all()
 
     def forget(self) -> None:
-        """Forget all history."""
+        """Drop the whole history."""
         self.history.clear()
         self.history_from = self.revision
 
 
 class Client:
-    """Be one proxy's way to the service; count what it asks."""
+    """Store client of one proxy; counts its calls."""
 
     def __init__(self, service: Service):
         self.service = service
-        # It is turned away.
-        self.away = False
-        # Its calls are taken and never answered.
-        self.swallowed = False
+        # The store refuses its calls.
+        self.is_unavailable = False
+        # Its calls get no answer.
+        self.is_unresponsive = False
         self.reads = 0
         self.watches = 0
 
     async def read_all(self, prefix):
-        """Return all that there is."""
+        """Return all values."""
         self.reads += 1
-        if self.away or self.swallowed:
+        if self.is_unavailable or self.is_unresponsive:
             return key_value.Unavailable('turned away')
         found = list(self.service.values.values())
         return key_value.Changes(0, self.service.revision, found)
 
     async def changes(self, prefix, since, wait_ms):
-        """Return what changed, waiting for it."""
+        """Return changes, waiting for the first."""
         self.watches += 1
         service = self.service
-        if self.away:
+        if self.is_unavailable:
             return key_value.Unavailable('turned away')
         if since < service.history_from:
             return key_value.HistoryCompacted()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000), service.changed:
                 await service.changed.wait_for(
-                    lambda: service.revision > since and not self.swallowed
+                    lambda: (
+                        service.revision > since and not self.is_unresponsive
+                    )
                 )
-        if self.swallowed:
+        if self.is_unresponsive:
             return key_value.Unavailable('no answer in time')
         if since < service.history_from:
             return key_value.HistoryCompacted()
@@ -92,7 +94,7 @@
 
 
 class Proxy:
-    """Hold one proxy's directory, and whom it tells."""
+    """One proxy's directory, and the server for its peers."""
 
     def __init__(self, name: str, port: int, service: Service):
         self.name = name
@@ -100,7 +102,7 @@
         self.client = Client(service)
         self.log = events.EventLog(name)
         self.versions: list[int] = []
-        self.frozen = False
+        self.is_paused = False
         asker = peers.PeerClient((), self.address)
         self.directory = directories.Directory(
             types.SimpleNamespace(store=self.client, decode=_decode),
@@ -109,21 +111,21 @@
                 name, CENTRE, asker, self.log, IN_FORCE_MS
             ),
             self.log,
-            self.note,
+            self.record_version,
         )
         self.server = peers.Server(self.changes_after)
 
     async def changes_after(
         self, after: int, wait_ms: int
     ) -> peers.PeerAnswer:
-        """Tell a peer, unless this proxy stands still."""
+        """Return changes to a peer, not before a pause has ended."""
         told = await self.directory.changes_after(after, wait_ms)
-        while self.frozen:
+        while self.is_paused:
             await asyncio.sleep(0.02)
         return told
 
-    def note(self, services: set[str]) -> None:
-        """Remember the version that is in force."""
+    def record_version(self, services: set[str]) -> None:
+        """Record the version that is in force."""
         self.versions.append(self.version)
 
     @property
@@ -134,16 +136,16 @@
 
     @property
     def follows(self) -> bool:
-        """Say whether it reads the service itself."""
+        """Return whether it reads the store itself."""
         return self.directory.follows
 
     def start(self) -> None:
-        """Begin to follow, or to hear."""
+        """Start the peer server and the directory."""
         self.server.start(self.address)
         self.directory.start()
 
     def end(self) -> None:
-        """End as a process that is killed."""
+        """Stop abruptly, as a killed process does."""
         self.directory.close()
         self.server.close()
         for connection in list(self.server.server._connections):
@@ -157,7 +159,7 @@
 
 
 class Fleet:
-    """Own the proxies and the service."""
+    """Proxies of one data centre and their store."""
 
     def __init__(self, count: int):
         self.service = Service()
@@ -168,7 +170,7 @@
         ]
 
     async def start(self) -> None:
-        """List all proxies and wait until all hear what they should."""
+        """List all proxies; wait until each has a source and the version."""
         for proxy in self.proxies:
             value = directories.ProxyValue(CENTRE, proxy.address)
             key = directories.PROXY_PREFIX + proxy.name
@@ -176,36 +178,36 @@
         await self.configure()
         for proxy in self.proxies:
             proxy.start()
-        # Nothing is promised for a start, and a busy machine takes its time.
+        # A start has no time limit of its own, and a busy machine is slow.
         await until(lambda: self.have_newest(self.proxies), STARTS_S)
         most = len(self.proxies) - 2
-        await until(lambda: len(self.hearers()) == most, STARTS_S)
+        await until(lambda: len(self.readers()) == most, STARTS_S)
 
     def close(self) -> None:
-        """End all proxies."""
+        """Stop all proxies."""
         for proxy in self.proxies:
             proxy.end()
 
     def followers(self) -> list[Proxy]:
-        """Return who reads the service."""
+        """Return the proxies that read the store."""
         return [proxy for proxy in self.proxies if proxy.follows]
 
-    def hearers(self) -> list[Proxy]:
-        """Return who hears another."""
+    def readers(self) -> list[Proxy]:
+        """Return the proxies that read from a follower."""
         return [p for p in self.proxies if p.directory.follower_client.source]
 
     async def configure(self) -> None:
-        """Have the operator write the next version."""
+        """Write the next version of the configuration."""
         self.version += 1
         await self.service.put(CONFIGURATION, str(self.version))
 
     async def in_force(self, proxies: list[Proxy]) -> None:
-        """Wait until the newest version is in force, no longer than it may."""
+        """Wait until the newest version is in force, within its time limit."""
         within_s = IN_FORCE_MS / 1000
         await until(lambda: self.have_newest(proxies), within_s)
 
     def have_newest(self, proxies: list[Proxy]) -> bool:
-        """Say whether the newest version is in force at all of them."""
+        """Return whether the newest version is in force at all of them."""
         return all(proxy.version == self.version for proxy in proxies)
 
 
--- a/topazring/pooler/tests/test_follower_client.py
+++ b/topazring/pooler/tests/test_follower_client.py
@@ -1,4 +1,4 @@
-"""Hear from followers what changed, whatever becomes of them."""
+"""Read changes from followers that pause, end or lose the store."""
 
 import asyncio
 import random
@@ -15,15 +15,15 @@
 PROXIES = 8
 
 
-class HearingTest(testtools.TestCase):
-    """Few ask the service; all know what it says within its time."""
+class FollowerClientTest(testtools.TestCase):
+    """Few proxies read the store; all apply changes within their time."""
 
     def play(self, steps, count: int = PROXIES):
-        """Run `steps()` with a fleet that has settled."""
+        """Run `steps()` with a fleet in which all proxies have a source."""
 
         async def run():
             self.fleet = fleets.Fleet(count)
-            # All is listed when it starts, so nothing has to be gathered.
+            # All entries are listed before the start: no need to batch them.
             with mock.patch.object(directories, 'STARTUP_S', 0.0):
                 await self.fleet.start()
                 await steps()
@@ -31,69 +31,69 @@
 
         asyncio.run(run())
 
-    def watched(self) -> int:
-        """Return how many watches the service has answered."""
+    def count_watches(self) -> int:
+        """Return how many watches the store has answered."""
         return sum(proxy.client.watches for proxy in self.fleet.proxies)
 
     def others(self, gone: list[fleets.Proxy]) -> list[fleets.Proxy]:
-        """Return all proxies but some."""
+        """Return all proxies except some."""
         return [p for p in self.fleet.proxies if p not in gone]
 
-    def test_change_costs_the_service_an_answer_a_follower(self):
-        """Not one a proxy: those of a fleet of thousands would be too many."""
+    def test_change_costs_the_store_one_answer_per_follower(self):
+        """One answer per proxy would be too many for a fleet of thousands."""
 
         async def steps():
-            before = self.watched()
+            before = self.count_watches()
             for _ in range(10):
                 await self.fleet.configure()
                 await self.fleet.in_force(self.fleet.proxies)
             self.assertEqual(2, len(self.fleet.followers()))
             # Ten changes, and a few watches that ended without one.
-            self.assertLessEqual(self.watched() - before, 2 * (10 + 4))
+            self.assertLessEqual(self.count_watches() - before, 2 * (10 + 4))
 
         self.play(steps)
 
     def test_proxy_that_catches_up(self):
-        """Guards against a promotion by one that news have not reached."""
+        """Guards against a promotion by a proxy that lacks recent changes."""
 
         async def steps():
-            (hearer, *_) = self.fleet.hearers()
+            (reader, *_) = self.fleet.readers()
             for follower in self.fleet.followers():
-                follower.frozen = True
+                follower.is_paused = True
             await self.fleet.configure()
-            self.assertNotEqual(self.fleet.version, hearer.version)
-            self.assertTrue(await hearer.directory.catch_up())
-            self.assertEqual(self.fleet.version, hearer.version)
+            self.assertNotEqual(self.fleet.version, reader.version)
+            self.assertTrue(await reader.directory.catch_up())
+            self.assertEqual(self.fleet.version, reader.version)
 
         self.play(steps)
 
     def test_proxy_that_cannot_catch_up(self):
-        """Guards against taking old news for new where nobody answers."""
+        """Guards against using outdated data when nobody answers."""
 
         async def steps():
-            (hearer, *_) = self.fleet.hearers()
-            hearer.client.away = True
-            for other in self.others([hearer]):
-                other.frozen = True
+            (reader, *_) = self.fleet.readers()
+            reader.client.is_unavailable = True
+            for other in self.others([reader]):
+                other.is_paused = True
             await self.fleet.configure()
-            self.assertFalse(await hearer.directory.catch_up())
+            self.assertFalse(await reader.directory.catch_up())
 
         self.play(steps)
 
-    def test_proxy_that_is_turned_away_catches_up_with_peers(self):
-        """Guards against waiting for a store that answers others."""
+    def test_refused_proxy_catches_up_with_peers(self):
+        """Guards against waiting for a store that answers other proxies."""
 
         async def steps():
-            (hearer, *_) = self.fleet.hearers()
-            hearer.client.away = True
+            (reader, *_) = self.fleet.readers()
+            reader.client.is_unavailable = True
             await self.fleet.configure()
-            await self.fleet.in_force(self.others([hearer]))
-            self.assertTrue(await hearer.directory.catch_up())
+            await self.fleet.in_force(self.others([reader]))
+            self.assertTrue(await reader.directory.catch_up())
 
         self.play(steps)
 
-    def test_forgotten_history_is_read_anew_by_followers(self):
-        """And what ended meanwhile is known to have ended everywhere."""
+    def test_compacted_history_is_reread_by_followers(self):
+        """Entries that ended meanwhile are removed at all proxies."""
 
         async def steps():
             key = directories.OWN_PREFIX + 'block'
@@ -117,23 +117,23 @@
 
         self.play(steps)
 
-    def test_follower_that_freezes(self):
-        """Its hearers know in time what changed right then.
+    def test_follower_that_is_paused(self):
+        """Guards against readers that depend on a paused follower.
 
-        What would be wrong: a configuration that was accepted is not in
-        force at proxies that are well, because another stands still.
+        A configuration that was accepted would not be in force in time at
+        healthy proxies, because another proxy is paused.
         """
 
         async def steps():
             frozen = self.fleet.followers()[0]
-            frozen.frozen = True
+            frozen.is_paused = True
             await self.fleet.configure()
             await self.fleet.in_force(self.others([frozen]))
 
         self.play(steps)
 
     def test_followers_that_end(self):
-        """Both at once: the others ask the service."""
+        """Both followers end at once: the other proxies read the store."""
 
         async def steps():
             ended = self.fleet.followers()
@@ -145,52 +145,52 @@
         self.play(steps)
 
     def test_follower_whose_watch_is_lost(self):
-        """A follower that learns nothing any more finds out in time."""
+        """A follower whose watch gets no answer detects that in time."""
 
         async def steps():
             cut = self.fleet.followers()[0]
-            cut.client.swallowed = True
+            cut.client.is_unresponsive = True
             await self.fleet.configure()
             await self.fleet.in_force(self.others([cut]))
 
         self.play(steps)
 
-    def test_followers_that_are_turned_away(self):
-        """They hear others then, and their hearers ask others or the service.
+    def test_followers_that_the_store_refuses(self):
+        """Refused followers and their readers find another source.
 
-        What would be wrong: the service turns two proxies away and serves
-        all others, and nobody in their data centre learns of a change.
+        Guards against a data centre that receives no changes because the
+        store refuses two of its proxies and serves all others.
         """
 
         async def steps():
             for proxy in self.fleet.followers():
-                proxy.client.away = True
+                proxy.client.is_unavailable = True
             await self.fleet.configure()
-            await self.fleet.in_force(self.fleet.hearers())
+            await self.fleet.in_force(self.fleet.readers())
 
         self.play(steps)
 
-    def test_nobody_hears_a_hearer(self):
-        """Two that heard each other would never learn anything again."""
+    def test_reader_is_not_a_source(self):
+        """Two proxies that read from each other would receive no changes."""
 
         async def steps():
-            hearer = self.fleet.hearers()[0]
-            told = await hearer.directory.changes_after(1, 0)
-            self.assertFalse(told.follows)
+            reader = self.fleet.readers()[0]
+            answer = await reader.directory.changes_after(1, 0)
+            self.assertFalse(answer.follows)
             asker = mock.Mock()
-            asker.fetch_changes = mock.AsyncMock(return_value=told)
+            asker.fetch_changes = mock.AsyncMock(return_value=answer)
             log = events.EventLog('other')
             other = follower_client.FollowerClient(
                 'pz', fleets.CENTRE, asker, log, 900
             )
-            records = hearer.directory.listing.proxies.values()
+            records = reader.directory.listing.proxies.values()
             self.assertIsNone(await other.poll(records, 1))
             self.assertEqual('', other.source)
 
         self.play(steps)
 
-    def test_old_word_is_not_taken(self):
-        """A follower that stood still answers with what it knew before."""
+    def test_outdated_answer_is_rejected(self):
+        """A follower that was paused answers with what it read before."""
 
         async def steps():
             asker = mock.Mock()
@@ -205,21 +205,21 @@
 
         self.play(steps)
 
-    def test_few_proxies_each_ask_the_service(self):
-        """A step more on the way of a change would spare nothing."""
+    def test_few_proxies_all_follow_the_store(self):
+        """Reading through a follower would save no watch in a small fleet."""
 
         async def steps():
             self.assertEqual(3, len(self.fleet.followers()))
 
-        with mock.patch.object(fleets.Fleet, 'hearers', lambda self: [None]):
+        with mock.patch.object(fleets.Fleet, 'readers', lambda self: [None]):
             self.play(steps, 3)
 
-    def test_walks(self):
-        """Whatever happens to followers, a version never goes back.
+    def test_random_walks(self):
+        """Whatever happens to followers, no proxy's version goes back.
 
-        Proxies freeze, are turned away or lose their watches, and history is
-        forgotten, several at the same moment; in the end all are well and
-        know the newest version within its time.
+        Proxies are paused, refused or lose their watches, and history is
+        dropped, several at the same time. When all have recovered, the newest
+        version is in force at all within its time limit.
         """
 
         async def steps():
@@ -232,16 +232,16 @@
         self.play(steps)
 
     async def walk(self, rng: random.Random) -> None:
-        """Have things go wrong for a second, then heal and check."""
+        """Inject faults for a second, then clear them and check."""
         for _ in range(20):
             proxy = rng.choice(self.fleet.proxies)
             match rng.choice(('freeze', 'away', 'swallow', 'forget', 'heal')):
                 case 'freeze':
-                    proxy.frozen = True
+                    proxy.is_paused = True
                 case 'away':
-                    proxy.client.away = True
+                    proxy.client.is_unavailable = True
                 case 'swallow':
-                    proxy.client.swallowed = True
+                    proxy.client.is_unresponsive = True
                 case 'forget':
                     self.fleet.service.forget()
                 case 'heal':
@@ -249,15 +249,15 @@
             await self.fleet.configure()
             await asyncio.sleep(rng.choice((0.0, 0.02, 0.1)))
         self.heal()
-        # A watch that was lost is noticed, and a proxy that was away asks
-        # again, within a second and a half.
+        # Within a second and a half a lost watch is detected, and a proxy that
+        # was refused asks again.
         await asyncio.sleep(1.5)
         await self.fleet.configure()
         await self.fleet.in_force(self.fleet.proxies)
 
     def heal(self) -> None:
-        """Have all proxies be well."""
+        """Clear the faults of all proxies."""
         for proxy in self.fleet.proxies:
-            proxy.frozen = False
-            proxy.client.away = False
-            proxy.client.swallowed = False
+            proxy.is_paused = False
+            proxy.client.is_unavailable = False
+            proxy.client.is_unresponsive = False
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -1,4 +1,4 @@
-"""Keep a process that serves many groups alive when one of them breaks."""
+"""Keep a process with many groups running when one group breaks."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Link:
-    """Stand for the connection to an upstream."""
+    """Fake connection to an upstream."""
 
     def __init__(self, number, codec, post):
         self.number = number
@@ -33,13 +33,13 @@
         self.sent = []
 
     def start(self, service, upstream, address):
-        """Be ready at once."""
+        """Report an open connection at once."""
         place = log_positions.LogPosition(1, 5)
         loop = asyncio.get_running_loop()
         loop.call_soon(self.post, messages.Opened(self.number, place))
 
     def send(self, commands):
-        """Answer questions; leave the callers' statements under way."""
+        """Answer status queries; leave the callers' statements in flight."""
         self.sent += commands
         answered = (statements.Begin, statements.Rollback, statements.Status)
         if all(isinstance(command, answered) for command in commands):
@@ -54,28 +54,28 @@
         asyncio.get_running_loop().call_soon(self.post, replied)
 
     def close(self):
-        """Note the end."""
+        """Record that the link is closed."""
         self.closed = True
 
 
-class Broken:
-    """Step as the group's kind does, and break on demand."""
+class FailingStep:
+    """Step as the group's kind does, and fail on demand."""
 
     def __init__(self, step):
         self.step = step
-        self.breaks = False
+        self.fails = False
 
     def __call__(self, state, now_ms, message):
-        """Break after the next tick has changed the state."""
+        """Fail after the next tick has changed the state."""
         outs = self.step(state, now_ms, message)
-        if self.breaks and isinstance(message, messages.Tick):
-            self.breaks = False
+        if self.fails and isinstance(message, messages.Tick):
+            self.fails = False
             raise KeyError(9)
         return outs
 
 
 class GroupTaskTest(testtools.TestCase):
-    """A broken invariant costs its group a moment, and nobody else."""
+    """A broken invariant restarts its group and affects no other."""
 
     def play(self, steps):
         """Run `steps()` with a group that is ready to serve."""
@@ -92,7 +92,7 @@
         self.task = group_task.GroupTask(
             's', 'here', 'p1', states.Limits(), adapter, log
         )
-        self.step = Broken(self.task.kind.step)
+        self.step = FailingStep(self.task.kind.step)
         self.task.kind = groups.GroupKind('broken', self.step)
         link = mock.patch.object(
             group_task.upstream_link, 'UpstreamLink', self.make_link
@@ -113,7 +113,7 @@
         return self.links[-1]
 
     async def settle(self):
-        """Let ticks pass until nothing new is said."""
+        """Process ticks until no new actions are expected."""
         for _ in range(20):
             self.task.post(messages.Tick())
             await asyncio.sleep(0)
@@ -132,18 +132,18 @@
         return asyncio.create_task(self.task.submit(request))
 
     async def break_group(self):
-        """Have the group's state break at the next tick."""
-        self.step.breaks = True
+        """Make the next tick break the group's state."""
+        self.step.fails = True
         self.task.post(messages.Tick())
         await asyncio.sleep(0)
 
-    def test_requests_are_answered_and_the_group_goes_on(self):
-        """What was sent is unknown if it may last, what waited did not run.
+    def test_restart_answers_requests_and_serves_again(self):
+        """Sent writes have an unknown outcome; reads and queued ones not run.
 
-        Symptom: a process with ten groups and the sessions of its callers
-        ends by a KeyError in one group. Sequence: a tick finds a request
-        that names a connection that is gone. Cause: whatever broke in one
-        group ended the process.
+        Guards against a KeyError in one group that ends a process with ten
+        groups and all sessions of its callers. A tick finds a request that
+        names a removed connection, and any error in one group ended the
+        process.
         """
 
         async def steps():
@@ -155,8 +155,8 @@
             before = list(self.links)
             await self.break_group()
             self.assertEqual(outcomes.Unknown(RESTARTED), await write)
-            told = [type(await answer) for answer in waiting]
-            self.assertIn(outcomes.NotRun, told)
+            kinds = [type(await answer) for answer in waiting]
+            self.assertIn(outcomes.NotRun, kinds)
             self.assertEqual(RESTARTED, (await read).reason)
             self.assertIsInstance(await read, outcomes.NotRun)
             self.assertTrue(all(link.closed for link in before))
@@ -172,8 +172,8 @@
 
         self.play(steps)
 
-    def test_numbers_and_tokens_go_on(self):
-        """A late word of an old connection is nobody's, a token only grows."""
+    def test_numbers_and_tokens_survive_a_restart(self):
+        """Late messages of old connections are ignored; tokens only grow."""
 
         async def steps():
             self.task.post(messages.PromotionLeaseSeen(True, 10_000))
@@ -189,8 +189,8 @@
 
         self.play(steps)
 
-    def test_state_that_breaks_on_and_on_ends_the_process(self):
-        """To begin anew does not mend everything; the platform restarts it."""
+    def test_repeated_restarts_end_the_process(self):
+        """A restart does not repair every state; the platform restarts it."""
 
         async def steps():
             exit_ = mock.patch.object(group_task.os, '_exit', autospec=True)
@@ -205,5 +205,5 @@
 
 
 def _runs(link) -> bool:
-    """Say whether a caller's statement is under way on a link."""
+    """Return whether a caller's statement is in flight on a link."""
     return any(isinstance(c, statements.Run) for c in link.sent)
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -1,4 +1,4 @@
-"""Carry requests between two proxies over a real stream."""
+"""Forward requests between two proxies over a real stream."""
 
 import asyncio
 import itertools
@@ -26,7 +26,7 @@
 
 
 def request(verb=Verb.READ, **more) -> messages.Request:
-    """Return a request with all that a session may bring along."""
+    """Return a request with all kinds of session state."""
     return messages.Request(
         7,
         statements.Statement('r1', verb, 'READ 1a4', name='s1'),
@@ -41,7 +41,7 @@
 
 
 class Owner:
-    """Answer what comes, and remember it."""
+    """Answer requests and record them."""
 
     def __init__(self):
         self.keys = itertools.count(100)
@@ -55,7 +55,7 @@
         self.log = events.EventLog('owner')
 
     async def serve_for_peer(self, asked):
-        """Answer at once, or never."""
+        """Answer after a pause, or never."""
         self.asked.append(asked)
         await asyncio.sleep(self.pause_s)
         if not self.answers:
@@ -63,11 +63,11 @@
         return self.outcome
 
     def withdraw_locally(self, service, transaction):
-        """Note a transaction that is undone."""
+        """Record an aborted transaction."""
         self.withdrawn.append((service, transaction))
 
     def queued_locally(self, service):
-        """Tell of a line."""
+        """Report a queue length."""
         return 5
 
     def next_key(self):
@@ -76,30 +76,29 @@
 
 
 class CountingSelector(selectors.DefaultSelector):
-    """Count how often a loop wakes."""
+    """Count the wake-ups of an event loop."""
 
     def __init__(self):
         super().__init__()
         self.wakes = 0
 
     def select(self, timeout=None):
-        """Wait as always."""
+        """Wait for events and count the wake-up."""
         self.wakes += 1
         return super().select(timeout)
 
 
 class EndingPeerTest(testtools.TestCase):
-    """The other proxy ends as this one reaches it."""
+    """The other proxy exits while a request is sent to it."""
 
-    def test_stream_that_ends_at_once(self):
-        """A request is told that the link is lost.
+    def test_stream_that_is_closed_at_once(self):
+        """Guards against a caller without an answer and a session left open.
 
-        Symptom: a caller gets no answer, and its session stays open.
-        Sequence: another proxy's process ends; a request is sent there; the
-        connection is still taken, and closed at once. Cause: the stream's
-        end is read before the request is noted on it, and nobody looks
-        again. Proof: of 249 requests to a listener that resets what it
-        takes, 5 had no answer after 2 s; others were told at once.
+        Another proxy's process exits; the connection is still accepted, and
+        closed at once. The end of the stream is read before the request is
+        recorded as pending, and nothing checks again. Of 249 requests to a
+        listener that resets its connections, 5 had no answer after 2 s; the
+        others got LinkLost at once.
         """
         asyncio.run(self.ends_at_once())
 
@@ -122,10 +121,10 @@
 
 
 class HopTest(testtools.TestCase):
-    """A request and its answer pass whole, or the link is lost."""
+    """A request and its answer arrive complete, or the link is lost."""
 
     def play(self, steps):
-        """Run `steps(self)` with a link to an owner."""
+        """Run `steps()` with a link to an owner."""
         asyncio.run(self._play(steps))
 
     async def _play(self, steps):
@@ -139,7 +138,7 @@
         self.server.close()
 
     async def send_request(self, asked=None):
-        """Ask the owner."""
+        """Send a request to the owner."""
         deadline_ms = clock.boottime_ms() + 500
         load = forwarding.Load()
         return await self.link.send_request(
@@ -147,7 +146,7 @@
         )
 
     def test_request_arrives_whole(self):
-        """With the session's state, under a key and time of the owner's."""
+        """The session state arrives; the owner sets its own key and time."""
 
         async def steps():
             sent = request()
@@ -164,7 +163,7 @@
         self.play(steps)
 
     def test_every_outcome_passes(self):
-        """A refusal says the same on both sides."""
+        """Each outcome is the same on both sides."""
 
         async def steps():
             for outcome in (
@@ -178,8 +177,8 @@
 
         self.play(steps)
 
-    def test_owner_tells_of_its_line(self):
-        """So that its entries ask others as well."""
+    def test_owner_reports_its_queue_length(self):
+        """The sending proxies use it to choose among owners."""
 
         async def steps():
             load = forwarding.Load()
@@ -189,8 +188,8 @@
 
         self.play(steps)
 
-    def test_transaction_keeps_its_number(self):
-        """Two entries may have given theirs the same one."""
+    def test_transaction_gets_a_local_number(self):
+        """Two sending proxies may use the same transaction number."""
 
         async def steps():
             await self.send_request(request(transaction=9, begins=True))
@@ -207,11 +206,10 @@
         self.play(steps)
 
     def test_transaction_ends_with_its_link(self):
-        """Its connection would be held for nobody.
+        """Guards against upstreams that run out of connections.
 
-        Symptom: upstreams have no connection left. Sequence: entries lose
-        their power in the middle of transactions. Cause: waiting for
-        statements of entries that are gone.
+        Sending proxies lose power in the middle of transactions. Waiting for
+        their next statements would hold the connections for nobody.
         """
 
         async def steps():
@@ -224,12 +222,11 @@
         self.play(steps)
 
     def test_transaction_that_begins_after_its_link_ended(self):
-        """It is undone once more when its first statement is answered.
+        """Guards against a transaction that is left open, as above.
 
-        Symptom: as above. Sequence: the stream ends while the statement
-        that begins the transaction is under way; the transaction is not
-        there yet to be undone, and begins. Cause: undoing at the stream's
-        end alone.
+        The stream ends while the statement that begins the transaction is in
+        flight: at that moment there is no transaction to abort yet. It is
+        aborted once more when its first statement is answered.
         """
 
         async def steps():
@@ -249,11 +246,11 @@
 
         self.play(steps)
 
-    def test_idle_link_wakes_nobody(self):
-        """Symptom: processes without work use up a fleet's processor time.
+    def test_idle_link_causes_no_wakeups(self):
+        """Guards against idle processes that use up a fleet's CPU time.
 
-        Sequence: a proxy has a link to each owner of each database; hardly
-        any is in use at a time. Cause: each was looked at 20 times a second.
+        A proxy has a link to each owner of each database, and few are in use
+        at a time. Each link was checked 20 times a second.
         """
         selector = CountingSelector()
 
@@ -268,8 +265,8 @@
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
             runner.run(self._play(steps))
 
-    def test_owner_that_ends(self):
-        """What was sent may have run."""
+    def test_owner_that_closes_its_streams(self):
+        """A request in flight may have run."""
 
         async def steps():
             self.owner.answers = False
@@ -284,11 +281,11 @@
 
         self.play(steps)
 
-    def test_silent_owner_is_noticed_in_time(self):
-        """It is frozen, without power or behind a partition.
+    def test_silent_owner_is_detected_in_time(self):
+        """Guards against requests that take seconds.
 
-        Symptom: requests take seconds. Sequence: an owner loses its power;
-        nothing tells its entries. Cause: waiting for the kernel.
+        An owner is paused, loses power or is partitioned. The sending proxies
+        get no event, and the kernel detects the loss only after seconds.
         """
 
         async def steps():
@@ -304,8 +301,8 @@
 
         self.play(steps)
 
-    def test_slow_owner_is_waited_for(self):
-        """It gives signs of life."""
+    def test_slow_owner_is_not_given_up(self):
+        """The owner answers pings."""
 
         async def steps():
             self.owner.answers = False
@@ -316,12 +313,12 @@
 
         self.play(steps)
 
-    def test_answer_that_nobody_here_knows(self):
-        """The owner is of another version; its link ends.
+    def test_unknown_outcome_ends_the_link(self):
+        """Guards against a caller's session that ends without an answer.
 
-        Symptom: a caller's session ends without an answer. Sequence: an
-        owner answers with an outcome of a later version. Cause: reading an
-        answer where its caller waits, not where the link is read.
+        An owner of a later version answers with an unknown outcome. It must
+        be decoded where the link is read, which ends the link, and not where
+        the caller waits.
         """
 
         async def steps():
@@ -332,7 +329,7 @@
 
         self.play(steps)
 
-    def test_bytes_that_are_no_frame(self):
+    def test_malformed_frame_ends_only_its_stream(self):
         """They end that stream, and no other."""
 
         async def steps():
--- a/topazring/pooler/tests/test_membership.py
+++ b/topazring/pooler/tests/test_membership.py
@@ -15,7 +15,7 @@
 
 
 class Store:
-    """Hold the one entry; remember the calls."""
+    """Fake store of the one entry; records the calls."""
 
     def __init__(self, revision: int):
         self.revision = revision
@@ -27,7 +27,7 @@
         return key_value.Leased(7, ttl_ms)
 
     async def put_all(self, values):
-        """Write if the entry is as the caller knows it."""
+        """Write if the entry has the expected revision."""
         self.calls.append('put')
         (value,) = values
         if value.revision != self.revision:
@@ -44,13 +44,13 @@
 
 
 class MembershipTest(testtools.TestCase):
-    """After a loss of power each call more is one a proxy of the fleet."""
+    """After a power loss each extra call is made by every proxy of a fleet."""
 
-    def enter(self, store: Store, known: int, read: bool = True) -> int:
-        """Enter with what was read before; return the lease."""
-        return asyncio.run(self._enter(store, known, read))
+    def register(self, store: Store, known: int, read: bool = True) -> int:
+        """Register after a read of the entry; return the lease."""
+        return asyncio.run(self._register(store, known, read))
 
-    async def _enter(self, store: Store, known: int, read: bool) -> int:
+    async def _register(self, store: Store, known: int, read: bool) -> int:
         change = revisions.Change(KEY, known, 'old') if known else None
         directory = types.SimpleNamespace(
             first_read=asyncio.Event(), own_value=lambda key: change
@@ -59,33 +59,35 @@
             directory.first_read.set()
         value = directories.ProxyValue('cork')
         log = events.EventLog('p1')
-        entering = membership.Membership('p1', value, store, directory, log)
-        entering.start()
+        registration = membership.Membership(
+            'p1', value, store, directory, log
+        )
+        registration.start()
         async with asyncio.timeout(2):
-            while not entering.lease:
+            while not registration.lease:
                 await asyncio.sleep(0.01)
-        entering.task.cancel()
-        return entering.lease
+        registration.task.cancel()
+        return registration.lease
 
     def test_predecessors_entry_is_replaced_as_it_was_read(self):
-        """No call is refused, and none asks for what is known."""
+        """No call is refused, and the entry is not read again."""
         store = Store(41)
-        self.enter(store, 41)
+        self.register(store, 41)
         self.assertEqual(['lease', 'put'], store.calls)
 
     def test_entry_that_was_not_read(self):
-        """It is looked at after the refusal, as it may be another's."""
+        """The entry is read after the conflict: it may be another's."""
         store = Store(41)
-        self.enter(store, 0)
+        self.register(store, 0)
         self.assertEqual(['lease', 'put', 'get', 'put'], store.calls)
 
-    def test_entry_that_lapsed_since(self):
-        """What was read is gone: its lease has ended meanwhile."""
+    def test_entry_that_expired_since(self):
+        """The entry that was read is gone: its lease has expired."""
         store = Store(0)
-        self.enter(store, 41)
+        self.register(store, 41)
         self.assertEqual(['lease', 'put', 'get', 'put'], store.calls)
 
-    def test_listed_though_nothing_can_be_read(self):
-        """A proxy that knows nothing yet is waited for by others."""
+    def test_listed_without_a_first_read(self):
+        """Others wait for a proxy that has not read anything yet."""
         store = Store(0)
-        self.assertEqual(7, self.enter(store, 0, read=False))
+        self.assertEqual(7, self.register(store, 0, read=False))
--- a/topazring/pooler/tests/test_peers.py
+++ b/topazring/pooler/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tell peers what changed, over links that are slow."""
+"""Send changes to peers over slow links."""
 
 import json
 import random
@@ -10,11 +10,11 @@
 from topazring.pooler import follower_client
 from topazring.pooler import peers
 
-# Of the slowest instances, and the hearers that one of two followers has
-# where 25 proxies share a data centre.
+# Bandwidth of the slowest instances, and the number of readers that one of two
+# followers has in a data centre of 25 proxies.
 LINK_BITS_PER_S = 5_000_000
-HEARERS = 12
-# A configuration has to be in force within it.
+READERS = 12
+# A configuration has to be in force within this time.
 IN_FORCE_S = 5.0
 
 
@@ -22,7 +22,7 @@
     """A large configuration passes a follower's link in time."""
 
     def configuration(self) -> str:
-        """Return one of 1,400 databases with names of their own."""
+        """Return a configuration of 1,400 databases with distinct names."""
         rng = random.Random(1)
 
         def name(length: int) -> str:
@@ -44,15 +44,15 @@
         return json.dumps({'version': 7, 'routes': routes})
 
     def test_large_configuration_in_time(self):
-        """All hearers of a follower have it in their part of the time.
+        """All readers of a follower get it within their part of the time.
 
-        Symptom: 200 requests of a second and a half fail, and as many again
-        are late, when the configuration grows by 1,100 routes. Sequence: a
-        follower with a slow link tells eleven hearers a quarter of a
-        megabyte each; its link is full for seconds, and what it serves waits
-        behind that. Cause: telling it as it is kept.
+        Guards against 200 failed requests of 1.5 s, and as many late ones,
+        when the configuration grows by 1,100 routes. A follower with a slow
+        link sent a quarter of a megabyte, uncompressed, to each of eleven
+        readers: its link was full for seconds, and its other traffic was
+        queued behind that.
         """
         change = revisions.Change('configuration', 9, self.configuration())
-        bits = len(peers.compress_changes([change])) * 8 * HEARERS
+        bits = len(peers.compress_changes([change])) * 8 * READERS
         part_s = IN_FORCE_S / follower_client.DEADLINE_PARTS
         self.assertLess(bits / LINK_BITS_PER_S, part_s)
--- a/topazring/pooler/tests/test_promotion_lease.py
+++ b/topazring/pooler/tests/test_promotion_lease.py
@@ -1,4 +1,4 @@
-"""Hold the duty as one of many, through a store that may fail."""
+"""Hold the promotion lease among many proxies, with a store that may fail."""
 
 import asyncio
 
@@ -13,15 +13,15 @@
 
 
 class Store:
-    """Hold the duty's values; leases end when they are not renewed."""
+    """Fake store of the lease's values; leases expire if not renewed."""
 
     def __init__(self, directory):
         self.directory = directory
         self.leases: dict[int, float] = {}
         self.calls: list[str] = []
-        self.away = False
-        # The next write is done and not answered.
-        self.loses_answer = False
+        self.is_unavailable = False
+        # The next write takes effect without an answer.
+        self.drops_answer = False
 
     def now(self) -> float:
         """Return the time."""
@@ -30,7 +30,7 @@
     async def lease(self, ttl_ms):
         """Begin a lease."""
         self.calls.append('lease')
-        if self.away:
+        if self.is_unavailable:
             return key_value.Unavailable('away')
         number = len(self.leases) + 1
         self.leases[number] = self.now() + ttl_ms / 1000
@@ -39,7 +39,7 @@
     async def renew_lease(self, lease):
         """Renew a lease."""
         self.calls.append('keep')
-        if self.away:
+        if self.is_unavailable:
             return key_value.Unavailable('away')
         if self.leases.get(lease, 0) < self.now():
             return key_value.Missing()
@@ -55,7 +55,7 @@
     async def get(self, key):
         """Return a value."""
         self.calls.append('get')
-        if self.away:
+        if self.is_unavailable:
             return key_value.Unavailable('away')
         change = self.directory.own_value(key)
         if change is None:
@@ -63,7 +63,7 @@
         return key_value.Found(change.value, change.revision)
 
     async def put_all(self, values):
-        """Write if nobody else did."""
+        """Write the values if their revisions are unchanged."""
         self.calls.append('put')
         for value in values:
             change = self.directory.own_value(value.key)
@@ -71,28 +71,28 @@
                 return key_value.Conflict()
         for value in values:
             self.directory.set(value.key, value.value)
-        if self.loses_answer:
-            self.loses_answer = False
+        if self.drops_answer:
+            self.drops_answer = False
             return key_value.Unavailable('lost')
         return key_value.Written(self.directory.known.seen)
 
 
 class Directory:
-    """Hold the product's own values."""
+    """Fake directory of the proxies' own values."""
 
     def __init__(self):
         self.known = revisions.Revisions(seen=1)
         self.own_changed = asyncio.Event()
         self.unavailable_since_ms = None
         self.follows = True
-        # What peers tell when they are asked; None if none answers.
-        self.peers_tell = {}
+        # Values that peers report when asked; None if no peer answers.
+        self.peer_values = {}
 
     async def ask_peers(self, within_s):
-        """Learn what peers know."""
-        if self.peers_tell is None:
+        """Apply what peers report."""
+        if self.peer_values is None:
             return False
-        for key, value in self.peers_tell.items():
+        for key, value in self.peer_values.items():
             self.set(key, value)
         return True
 
@@ -110,10 +110,10 @@
 
 
 class PromotionLeaseTest(testtools.TestCase):
-    """One holder, tokens that only grow."""
+    """There is one holder, and tokens only grow."""
 
     def play(self, steps):
-        """Run `steps(self)` with a duty that has begun."""
+        """Run `steps()` with a promotion lease that is not started yet."""
         asyncio.run(self._play(steps))
 
     async def _play(self, steps):
@@ -131,13 +131,13 @@
         await self.promotion_lease.close()
 
     async def until(self, holds, within_s=2.0):
-        """Wait until the duty is held, or is not."""
+        """Wait until the lease is held, or is not held."""
         async with asyncio.timeout(within_s):
             while self.promotion_lease.holds is not holds:
                 await asyncio.sleep(0.01)
 
-    def test_gains_and_keeps(self):
-        """With a block of tokens above all earlier ones."""
+    def test_lease_is_acquired_and_renewed(self):
+        """The holder gets a block of tokens above all earlier ones."""
 
         async def steps():
             self.directory.set(promotion_leases.TOKEN_BLOCK_KEY, '70000')
@@ -150,12 +150,11 @@
         self.play(steps)
 
     def test_old_lease_is_not_used(self):
-        """A lease of a try that failed has run for a while.
+        """Guards against a lease that is lost a second after it was acquired.
 
-        Symptom: the duty is lost a second after it was gained. Sequence: a
-        try meets another's; two seconds later the duty is free; it is taken
-        under the lease of the first try, which ends. Cause: keeping a lease
-        that nobody renews.
+        An attempt conflicts with another proxy's. Two seconds later the lease
+        is free, and it is acquired under the store lease of the first
+        attempt, which expires because nobody has renewed it.
         """
 
         async def steps():
@@ -175,20 +174,21 @@
 
         self.play(steps)
 
-    def test_lost_answer(self):
-        """The write may have been done; the value tells."""
+    def test_write_without_an_answer(self):
+        """The write may have taken effect; reading the value resolves it."""
 
         async def steps():
-            self.store.loses_answer = True
+            self.store.drops_answer = True
             self.promotion_lease.start()
             await self.until(True)
 
         self.play(steps)
 
-    def test_hearer_leaves_it_to_followers(self):
-        """Of a large fleet hundreds would write for a free duty at once.
+    def test_non_follower_leaves_the_lease_to_followers(self):
+        """Guards against hundreds of writes for a free lease in large fleets.
 
-        A hearer takes it all the same when nobody else has for a while.
+        A proxy that reads from a follower acquires the lease nevertheless if
+        nobody else has for a while.
         """
 
         async def steps():
@@ -201,8 +201,8 @@
 
         self.play(steps)
 
-    def test_another_holds_it(self):
-        """Nothing is tried while it is held."""
+    def test_no_attempt_while_another_holds_the_lease(self):
+        """No attempt is made while another proxy holds the lease."""
 
         async def steps():
             self.directory.set(
@@ -214,33 +214,32 @@
 
         self.play(steps)
 
-    def test_goes_on_while_the_store_is_away(self):
-        """Nobody else can take it then."""
+    def test_holder_continues_while_the_store_is_unavailable(self):
+        """Nobody else can acquire the lease meanwhile."""
 
         async def steps():
             self.promotion_lease.start()
             await self.until(True)
-            self.store.away = True
+            self.store.is_unavailable = True
             await asyncio.sleep(TTL_S + 0.5)
             self.assertTrue(self.promotion_lease.holds)
 
         self.play(steps)
 
-    def test_stops_when_a_peer_tells_of_its_successor(self):
-        """The store may turn away the holder and serve the others.
+    def test_holder_stops_when_a_peer_reports_a_successor(self):
+        """Guards against an acknowledged write that a failover loses.
 
-        Symptom: an acknowledged write is gone after a failover. Sequence:
-        the store turns the holder away and drops its lease; another takes
-        the duty and pauses the replicas; the first, which has given up an
-        attempt of its own, resumes them; one confirms a write of the old
-        primary. Cause: taking a store that turns one away for one that is
-        away for all.
+        The store refuses the holder, drops its lease and serves the other
+        proxies. Another acquires the lease and pauses the replicas. The first,
+        which has given up an attempt of its own, resumes them, and one
+        confirms a write of the old primary. A store that refuses one proxy
+        must not be taken for one that is unavailable to all.
         """
 
         async def steps():
             self.promotion_lease.start()
             await self.until(True)
-            self.store.away = True
+            self.store.is_unavailable = True
             taken = '{"holder":"p2-a","token":20000}'
             self.directory.set(promotion_leases.LEASE_KEY, taken)
             await self.until(
@@ -250,8 +249,8 @@
 
         self.play(steps)
 
-    def test_refused_order(self):
-        """It asks whether the duty is still its own."""
+    def test_recheck_after_a_refused_order(self):
+        """The holder checks with the store that it still holds the lease."""
 
         async def steps():
             self.promotion_lease.start()
@@ -269,13 +268,13 @@
 
         self.play(steps)
 
-    def test_order_of_an_overtaken_holder_is_not_sent(self):
-        """Where tokens are not checked, nothing else stops it.
+    def test_order_of_a_replaced_holder_is_not_sent(self):
+        """Guards against an order with a lower token than an earlier one.
 
-        Symptom: an order with a lower token than one that went before.
-        Sequence: the holder is frozen; its lease ends and another takes the
-        duty; it wakes in the middle of an attempt and orders. Cause: taking
-        what was known before the pause for what holds.
+        If tokens are not checked, nothing else stops it. The holder is paused;
+        its lease expires and another proxy acquires it; the first resumes in
+        the middle of an attempt and sends its order, because it relies on
+        what it read before the pause.
         """
 
         async def steps():
@@ -290,50 +289,50 @@
 
         self.play(steps)
 
-    def test_order_while_the_store_is_away_for_all(self):
-        """Peers know of nobody else, so the holder goes on."""
+    def test_order_while_the_store_is_unavailable_to_all(self):
+        """Peers report no successor, so the holder continues."""
 
         async def steps():
             self.promotion_lease.start()
             await self.until(True)
-            self.store.away = True
+            self.store.is_unavailable = True
             self.assertTrue(await self.promotion_lease.verify_holder())
             self.directory.unavailable_since_ms = 1
             self.assertTrue(await self.promotion_lease.verify_holder())
 
         self.play(steps)
 
-    def test_order_while_the_store_turns_the_holder_away(self):
-        """A peer that reads there knows who has the duty now."""
+    def test_order_while_the_store_refuses_the_holder(self):
+        """A peer that reads the store reports the new holder."""
 
         async def steps():
             self.promotion_lease.start()
             await self.until(True)
-            self.store.away = True
+            self.store.is_unavailable = True
             taken = '{"holder":"p2-a","token":20000}'
-            self.directory.peers_tell = {promotion_leases.LEASE_KEY: taken}
+            self.directory.peer_values = {promotion_leases.LEASE_KEY: taken}
             self.assertFalse(await self.promotion_lease.verify_holder())
             self.assertFalse(self.promotion_lease.holds)
 
         self.play(steps)
 
-    def test_order_of_a_holder_that_is_cut_off(self):
-        """Neither the store nor any peer can say that it still holds it."""
+    def test_order_of_a_partitioned_holder(self):
+        """Neither the store nor a peer can confirm the lease."""
 
         async def steps():
             self.promotion_lease.start()
             await self.until(True)
-            self.store.away = True
-            self.directory.peers_tell = None
+            self.store.is_unavailable = True
+            self.directory.peer_values = None
             self.assertFalse(await self.promotion_lease.verify_holder())
 
         self.play(steps)
 
-    def test_value_that_somebody_else_wrote(self):
-        """It names no holder, and this process goes on.
+    def test_lease_value_in_another_format(self):
+        """Guards against a task that ends with an error, so nobody promotes.
 
-        Symptom: a proxy's duty ends with an error, and nobody promotes.
-        Cause: taking each value under our keys for one that we wrote.
+        A value under the lease key may be written by another program. It
+        names no holder, and this process continues.
         """
 
         async def steps():
@@ -346,8 +345,8 @@
 
         self.play(steps)
 
-    def test_yields(self):
-        """Others have it for a while."""
+    def test_yielded_lease_is_left_to_others(self):
+        """Other proxies can acquire it for a while."""
 
         async def steps():
             self.promotion_lease.start()
