--- a/topazring/pooler/peers.py
+++ b/topazring/pooler/peers.py
@@ -3,7 +3,7 @@
 Most proxies read changes from a follower. Also, the store may refuse some
 proxies while it serves others, and a proxy that starts while the store is
 unavailable has no data at all. Peers return what they have read: all changes
-after a revision, or everything if they cannot tell which entries ended.
+after a revision, or everything if they cannot determine which entries ended.
 
 The transport is plain HTTP: a peer is asked every second or two, and a
 messaging library would stay in memory all the time.
--- a/topazring/pooler/shutdown.py
+++ b/topazring/pooler/shutdown.py
@@ -53,7 +53,7 @@
     """Limit a request's timeout to the time until the process exits.
 
     Otherwise its session could end without an answer: another proxy that
-    serves the request continues after the exit, and the caller cannot know
+    serves the request continues after the exit, and the caller cannot find out
     whether a write is kept.
     """
     if exit_deadline_ms is None:
--- a/topazring/pooler/tests/fleet.py
+++ b/topazring/pooler/tests/fleet.py
@@ -119,10 +119,10 @@
         self, after: int, wait_ms: int
     ) -> peers.PeerAnswer:
         """Return changes to a peer, not before a pause has ended."""
-        told = await self.directory.changes_after(after, wait_ms)
+        answer = await self.directory.changes_after(after, wait_ms)
         while self.is_paused:
             await asyncio.sleep(0.02)
-        return told
+        return answer
 
     def record_version(self, services: set[str]) -> None:
         """Record the version that is in force."""
--- a/topazring/pooler/tests/test_follower_client.py
+++ b/topazring/pooler/tests/test_follower_client.py
@@ -125,10 +125,10 @@
         """
 
         async def steps():
-            frozen = self.fleet.followers()[0]
-            frozen.is_paused = True
+            paused = self.fleet.followers()[0]
+            paused.is_paused = True
             await self.fleet.configure()
-            await self.fleet.in_force(self.others([frozen]))
+            await self.fleet.in_force(self.others([paused]))
 
         self.play(steps)
 
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -80,11 +80,11 @@
 
     def __init__(self):
         super().__init__()
-        self.wakes = 0
+        self.wakeups = 0
 
     def select(self, timeout=None):
         """Wait for events and count the wake-up."""
-        self.wakes += 1
+        self.wakeups += 1
         return super().select(timeout)
 
 
@@ -110,7 +110,7 @@
         deadline_ms = clock.boottime_ms() + 500
         with (
             mock.patch.object(tcpclient.TCPClient, 'connect', dialled),
-            mock.patch.object(hop.dialling, 'keep_alive', autospec=True),
+            mock.patch.object(hop.dialling, 'enable_keepalive', autospec=True),
         ):
             async with asyncio.timeout(2.0):
                 answer = await link.send_request(
@@ -257,9 +257,9 @@
         async def steps():
             await self.send_request()
             await asyncio.sleep(2 * hop.WATCH_INTERVAL_S)
-            before = selector.wakes
+            before = selector.wakeups
             await asyncio.sleep(20 * hop.WATCH_INTERVAL_S)
-            self.assertLess(selector.wakes - before, 4)
+            self.assertLess(selector.wakeups - before, 4)
 
         loop = asyncio.SelectorEventLoop(selector)
         with asyncio.Runner(loop_factory=lambda: loop) as runner:
