--- a/topazring/platform/tests/test_caller.py
+++ b/topazring/platform/tests/test_caller.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self.codec = caller_lines.CallerCodec()
         self.log = events.EventLog('test')
-        self.stopping = caller_task.Stopping.NO
+        self.shutdown_phase = caller_task.ShutdownPhase.RUNNING
         self.keys = 0
         self.release = asyncio.Event()
         self.submitted = 0
@@ -92,7 +92,7 @@
         """
 
         async def steps(host, task, caller):
-            host.stopping = caller_task.Stopping.LAST
+            host.shutdown_phase = caller_task.ShutdownPhase.REFUSE_NEW
             for text in (b'READ 1', b'WRITE 1 x', b'BEGIN'):
                 await caller.write(b'QUERY q1 ' + text + b'\r\n')
                 answer = await caller.read_until(b'READY I -\r\n')
@@ -108,8 +108,8 @@
             await caller.write(b'QUERY q1 READ 1\r\n')
             while not host.submitted:
                 await asyncio.sleep(0.01)
-            host.stopping = caller_task.Stopping.LAST
-            task.end_if_quiet()
+            host.shutdown_phase = caller_task.ShutdownPhase.REFUSE_NEW
+            task.close_if_idle()
             host.release.set()
             answer = await caller.read_until(b'READY I -\r\n')
             self.assertIn(b'DONE sig', answer)
--- a/topazring/platform/tests/test_store.py
+++ b/topazring/platform/tests/test_store.py
@@ -10,7 +10,7 @@
 
 from topazring import key_value
 from topazring.platform import store
-from topazring.pooler import duty as duties
+from topazring.pooler import promotion_lease as duties
 
 
 class KeepTest(testtools.TestCase):
@@ -24,7 +24,7 @@
         comes after the lease has ended. Cause: a lease too short for two
         renewals and one wait.
         """
-        needed_s = 2 * duties.RENEW_S + store.KEEP_S
+        needed_s = 2 * duties.RENEW_INTERVAL_S + store.KEEP_S
         self.assertLess(needed_s, duties.TTL_MS / 1000)
 
 
--- a/topazring/pooler/caller_server.py
+++ b/topazring/pooler/caller_server.py
@@ -12,10 +12,10 @@
 __all__ = ['Server']
 
 # Another proxy is likely to have room at once.
-TURNED_AWAY_RETRY_MS = 200
+REFUSED_RETRY_MS = 200
 # A caller's first message comes with its connection.
-TURN_AWAY_S = 0.5
-FIRST_BYTES = 4096
+REFUSAL_TIMEOUT_S = 0.5
+MAX_FIRST_READ_BYTES = 4096
 BACKLOG = 512
 # Descriptors kept for files, upstreams, the store and the balancer's
 # questions. Without a limit callers that connect and say nothing take them
@@ -54,7 +54,7 @@
     async def _turn_away(self, stream: iostream.IOStream) -> None:
         """Refuse a caller for whom there is no descriptor to spare."""
         refusal = outcomes.NotRun(
-            outcomes.Reason.CONNECTION_LIMIT, TURNED_AWAY_RETRY_MS
+            outcomes.Reason.CONNECTION_LIMIT, REFUSED_RETRY_MS
         )
         self.host.note('start', refusal, 0)
         self.host.log.emit(
@@ -65,8 +65,8 @@
         try:
             # What is not read before the end resets the connection, and the
             # answer is lost with it.
-            async with asyncio.timeout(TURN_AWAY_S):
-                await stream.read_bytes(FIRST_BYTES, partial=True)
+            async with asyncio.timeout(REFUSAL_TIMEOUT_S):
+                await stream.read_bytes(MAX_FIRST_READ_BYTES, partial=True)
             await stream.write(self.host.codec.refusal(refusal))
         except (iostream.StreamClosedError, TimeoutError):
             # It left, or said nothing; there is nobody to tell.
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -18,7 +18,7 @@
 from topazring.plumbing import events
 from topazring.pooler import ports
 
-__all__ = ['CallerTask', 'Host', 'Stopping']
+__all__ = ['CallerTask', 'Host', 'ShutdownPhase']
 
 Reason = outcomes.Reason
 
@@ -35,25 +35,25 @@
 # An operation may be several statements outside a transaction, each sent on
 # the answer to the last. A session that has been still for less may be in
 # the middle of one, or its next request is on the way already.
-QUIET_MS = 250
-LAST_QUIET_MS = 60
+IDLE_MS = 250
+LATE_IDLE_MS = 60
 # A message that is too long is thrown away for so long, then cut.
-DISCARD_S = 0.5
+DISCARD_TIMEOUT_S = 0.5
 # A caller starts its session with its first message. One that says nothing
 # for so long only takes up a descriptor.
-START_S = 10.0
+START_TIMEOUT_S = 10.0
 
 
-class Stopping(enum.IntEnum):
+class ShutdownPhase(enum.IntEnum):
     """Say how far this process is on its way to its end."""
 
-    NO = 0
+    RUNNING = 0
     # Sessions end as soon as they are between operations.
-    QUIET = 1
+    CLOSE_IDLE = 1
     # Open transactions end too.
-    ALL = 2
+    CLOSE_TRANSACTIONS = 2
     # Nothing new is begun any more.
-    LAST = 3
+    REFUSE_NEW = 3
 
 
 class Host(typing.Protocol):
@@ -61,7 +61,7 @@
 
     codec: ports.CallerCodec
     log: events.EventLog
-    stopping: Stopping
+    shutdown_phase: ShutdownPhase
 
     def policy(self, database: str) -> messages.Policy | None:
         """Return the policy in force for a database."""
@@ -104,7 +104,7 @@
     async def serve(self) -> None:
         """Serve until the caller or this process ends the session."""
         loop = asyncio.get_running_loop()
-        unstarted = loop.call_later(START_S, self._end_unstarted)
+        unstarted = loop.call_later(START_TIMEOUT_S, self._end_unstarted)
         try:
             while not self.stream.closed():
                 item = await self._next()
@@ -133,21 +133,21 @@
         if self.busy or self.pending:
             return False
         still_ms = clock.suspended_ms() - self.still_since_ms
-        match self.host.stopping:
-            case Stopping.NO:
+        match self.host.shutdown_phase:
+            case ShutdownPhase.RUNNING:
                 return False
-            case Stopping.QUIET:
+            case ShutdownPhase.CLOSE_IDLE:
                 open_one = self.session and self.session.transaction
-                return still_ms >= QUIET_MS and not open_one
-            case Stopping.ALL | Stopping.LAST:
-                return still_ms >= LAST_QUIET_MS
+                return still_ms >= IDLE_MS and not open_one
+            case ShutdownPhase.CLOSE_TRANSACTIONS | ShutdownPhase.REFUSE_NEW:
+                return still_ms >= LATE_IDLE_MS
 
     def _end_unstarted(self) -> None:
         """Close a connection on which no session was started."""
         if self.session is None:
             self.stream.close()
 
-    def end_if_quiet(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the session if nothing is under way on it."""
         if self._may_end():
             self.stream.close()
@@ -201,7 +201,7 @@
         answer that is on its way is lost with it.
         """
         try:
-            async with asyncio.timeout(DISCARD_S):
+            async with asyncio.timeout(DISCARD_TIMEOUT_S):
                 while True:
                     await self.stream.read_bytes(READ_BYTES, partial=True)
         except TimeoutError:
@@ -285,7 +285,7 @@
         one would be cut when the process ends, and whether it ran be unknown;
         refused, it runs at another proxy.
         """
-        if self.host.stopping is not Stopping.LAST:
+        if self.host.shutdown_phase is not ShutdownPhase.REFUSE_NEW:
             return False
         return session.transaction is None and statement.verb in _OPERATIONS
 
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -11,7 +11,7 @@
 from topazring import key_value
 from topazring.plumbing import clock
 from topazring.plumbing import events
-from topazring.pooler import hearing
+from topazring.pooler import follower_client
 from topazring.pooler import peers
 from topazring.pooler import ports
 
@@ -20,22 +20,22 @@
 OWN_PREFIX = 'topazring/'
 PROXY_PREFIX = 'topazring/proxies/'
 # One watch for everything: each that waits is a call that is paid for.
-EVERYTHING = ''
+ALL_KEYS_PREFIX = ''
 # While a fleet starts, its proxies and their upstreams enter the list one
 # after the other; each entry alone would cost every proxy a call.
-STARTING_S = 8.0
-GATHER_S = 0.4
+STARTUP_S = 8.0
+STARTUP_BATCH_S = 0.4
 RETRY_S = 0.15
-MOST_RETRY_S = 1.2
-EXPIRE_S = 0.25
+MAX_RETRY_S = 1.2
+EXPIRY_INTERVAL_S = 0.25
 # Of what is wrong with an entry so many characters are told.
-BAD_ENTRY = 200
+MAX_ERROR_CHARS = 200
 # Of those that the store turns away, a third of a fleet at the worst, all
 # three are asked in one case of thirty.
-ASKED_PEERS = 3
+PEERS_TO_ASK = 3
 # A promotion waits for what is listed by now: the service and peers answer in
 # milliseconds, and each has so long.
-CATCH_UP_S = 0.1
+CATCH_UP_TIMEOUT_S = 0.1
 
 
 class ProxyValue(msgspec.Struct):
@@ -54,19 +54,19 @@
     def __init__(
         self,
         adapter: ports.Adapter,
-        asker: peers.Asker,
-        hearer: hearing.Hearer,
+        asker: peers.PeerClient,
+        hearer: follower_client.FollowerClient,
         log: events.EventLog,
         changed: collections.abc.Callable[[set[str]], None],
     ):
         self.adapter = adapter
-        self.asker = asker
-        self.hearer = hearer
+        self.peer_client = asker
+        self.follower_client = hearer
         self.log = log
         self.changed = changed
         self.listing = listings.Listing()
         # Set when all that there is was read once.
-        self.read = asyncio.Event()
+        self.first_read = asyncio.Event()
         # Set with the first configuration.
         self.configured = asyncio.Event()
         # The last change of each key, up to `known.seen`.
@@ -76,7 +76,7 @@
         self.news = asyncio.Event()
         # When the listing was last known to be complete.
         self.confirmed_ms = -(10**9)
-        self.away_since_ms: int | None = None
+        self.unavailable_since_ms: int | None = None
         self.own_changed = asyncio.Event()
         self.tasks: list[asyncio.Task] = []
 
@@ -91,9 +91,9 @@
         """Stop following."""
         for task in self.tasks:
             task.cancel()
-        self.asker.close()
+        self.peer_client.close()
 
-    def own(self, key: str) -> revisions.Change | None:
+    def own_value(self, key: str) -> revisions.Change | None:
         """Return one of the product's own values, None if it is not set."""
         change = self.known.changes.get(key)
         if change is None or change.value is None:
@@ -103,10 +103,16 @@
     @property
     def follows(self) -> bool:
         """Say whether this proxy reads the service itself, and can."""
-        away = self.away_since_ms is not None
-        return self.known.seen > 0 and not self.hearer.source and not away
+        away = self.unavailable_since_ms is not None
+        return (
+            self.known.seen > 0
+            and not self.follower_client.source
+            and not away
+        )
 
-    async def tell(self, after: int, wait_ms: int = 0) -> peers.Told:
+    async def changes_after(
+        self, after: int, wait_ms: int = 0
+    ) -> peers.PeerAnswer:
         """Return what a peer lacks that knows all up to a revision.
 
         If that is nothing, wait for it, as long as this proxy follows.
@@ -116,7 +122,7 @@
         seen = self.known.seen
         age_ms = max(0, clock.suspended_ms() - self.confirmed_ms)
         complete, changes = revisions.missing_changes(self.known, after)
-        return peers.Told(seen, complete, changes, self.follows, age_ms)
+        return peers.PeerAnswer(seen, complete, changes, self.follows, age_ms)
 
     async def _wait_for_news(self, after: int, wait_ms: int) -> None:
         if not self.follows or self.known.seen > after:
@@ -139,11 +145,13 @@
         began_ms = clock.suspended_ms()
         while True:
             answer = await self._ask()
-            if isinstance(answer, key_value.Changes | hearing.Heard):
+            if isinstance(
+                answer, key_value.Changes | follower_client.FollowerAnswer
+            ):
                 failures = 0
                 self._back(answer)
-                if clock.suspended_ms() - began_ms < STARTING_S * 1000:
-                    await asyncio.sleep(GATHER_S)
+                if clock.suspended_ms() - began_ms < STARTUP_S * 1000:
+                    await asyncio.sleep(STARTUP_BATCH_S)
                 continue
             if isinstance(answer, key_value.HistoryLost):
                 self.log.emit(
@@ -154,7 +162,7 @@
                 self.history_lost = True
                 continue
             self._away(answer)
-            await self.ask_peers(peers.ASK_S, count=1)
+            await self.ask_peers(peers.ASK_TIMEOUT_S, count=1)
             failures += 1
             await asyncio.sleep(self._pause_s(failures))
 
@@ -162,14 +170,14 @@
         if self.listing.configuration is None:
             # Nothing can be served until it is known.
             return RETRY_S
-        pause_s = min(RETRY_S * 2 ** min(failures, 5), MOST_RETRY_S)
+        pause_s = min(RETRY_S * 2 ** min(failures, 5), MAX_RETRY_S)
         return pause_s * random.uniform(0.5, 1.0)
 
     async def _ask(self):
         """Ask a follower or the service once; take in what is answered."""
         if not self.known.seen:
             return await self._read_everything()
-        heard = await self.hearer.hear(
+        heard = await self.follower_client.poll(
             self.listing.proxies.values(), self.known.seen
         )
         if heard is not None:
@@ -183,7 +191,7 @@
     async def _read_changes(self, wait_ms: int):
         """Read what is new, waiting for the first of it; take it in."""
         answer = await self.adapter.store.changes(
-            EVERYTHING, self.known.seen, wait_ms
+            ALL_KEYS_PREFIX, self.known.seen, wait_ms
         )
         if isinstance(answer, key_value.Changes):
             self._take(answer.changes, answer.upto)
@@ -195,13 +203,13 @@
         While it is away only a short question finds out when it is back: a
         watch that it swallows would be waited for.
         """
-        if self.away_since_ms is not None:
+        if self.unavailable_since_ms is not None:
             return 0
-        return self.hearer.watch_ms(self.listing.proxies.values())
+        return self.follower_client.watch_ms(self.listing.proxies.values())
 
     async def _read_everything(self):
         asked_ms = clock.suspended_ms()
-        answer = await self.adapter.store.everything(EVERYTHING)
+        answer = await self.adapter.store.everything(ALL_KEYS_PREFIX)
         if isinstance(answer, key_value.Changes):
             self.history_lost = False
             self._take_all(answer.changes, answer.upto)
@@ -221,14 +229,14 @@
 
         Peers are asked where the service does not answer in time.
         """
-        if self.away_since_ms is None:
+        if self.unavailable_since_ms is None:
             try:
-                async with asyncio.timeout(CATCH_UP_S):
+                async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
                     if await self._read_now():
                         return True
             except TimeoutError:
                 self.log.emit('directory', 'slow to catch up')
-        return await self.ask_peers(CATCH_UP_S)
+        return await self.ask_peers(CATCH_UP_TIMEOUT_S)
 
     async def _read_now(self) -> bool:
         """Read what is new without waiting; say whether it is known."""
@@ -238,7 +246,7 @@
         return isinstance(answer, key_value.Changes)
 
     async def ask_peers(
-        self, within_s: float, count: int = ASKED_PEERS
+        self, within_s: float, count: int = PEERS_TO_ASK
     ) -> bool:
         """Learn from some peers at once; say whether any answered.
 
@@ -249,11 +257,13 @@
             for proxy in self.listing.proxies.values()
             if proxy.peer_address
         }
-        chosen = self.asker.choose(addresses, count)
+        chosen = self.peer_client.choose_peers(addresses, count)
         if not chosen:
             return True
         asking = [
-            asyncio.create_task(self.asker.ask_one(address, self.known.seen))
+            asyncio.create_task(
+                self.peer_client.fetch_changes(address, self.known.seen)
+            )
             for address in chosen
         ]
         done, late = await asyncio.wait(asking, timeout=within_s)
@@ -264,7 +274,7 @@
             self._take_told(told)
         return any(told is not None for told in answers)
 
-    def _take_told(self, told: peers.Told | None) -> None:
+    def _take_told(self, told: peers.PeerAnswer | None) -> None:
         if told is None or told.revision <= self.known.seen:
             return
         if told.changes:
@@ -281,26 +291,28 @@
             self._take(told.changes, told.revision)
 
     def _away(self, answer: key_value.Unavailable) -> None:
-        if self.away_since_ms is None:
-            self.away_since_ms = clock.suspended_ms()
+        if self.unavailable_since_ms is None:
+            self.unavailable_since_ms = clock.suspended_ms()
             # Who waits here for news has to hear another.
             self._tell_news()
             self.log.emit(
                 'directory', 'store lost', inputs={'detail': answer.detail}
             )
 
-    def _back(self, answer: key_value.Changes | hearing.Heard) -> None:
+    def _back(
+        self, answer: key_value.Changes | follower_client.FollowerAnswer
+    ) -> None:
         now_ms = clock.suspended_ms()
-        if self.away_since_ms is not None:
-            away_ms = now_ms - self.away_since_ms
-            self.away_since_ms = None
+        if self.unavailable_since_ms is not None:
+            away_ms = now_ms - self.unavailable_since_ms
+            self.unavailable_since_ms = None
             # What lapsed meanwhile has its time to come back from now on.
             for key in self.listing.missing_since_ms:
                 self.listing.missing_since_ms[key] = now_ms
             self.log.emit(
                 'directory', 'store regained', inputs={'away_ms': away_ms}
             )
-        if isinstance(answer, hearing.Heard):
+        if isinstance(answer, follower_client.FollowerAnswer):
             now_ms = max(self.confirmed_ms, answer.confirmed_ms)
         self.confirmed_ms = now_ms
 
@@ -313,7 +325,7 @@
 
     def _take(self, changes: list[revisions.Change], upto: int) -> None:
         new = revisions.merge(self.known, self.known.seen, upto, changes)
-        self.read.set()
+        self.first_read.set()
         now_ms = clock.suspended_ms()
         services: set[str] = set()
         for change in new or ():
@@ -337,7 +349,10 @@
             self.log.emit(
                 'directory',
                 'bad entry',
-                inputs={'key': change.key, 'error': str(error)[:BAD_ENTRY]},
+                inputs={
+                    'key': change.key,
+                    'error': str(error)[:MAX_ERROR_CHARS],
+                },
             )
             return listings.record_removal(self.listing, now_ms, change.key)
         if record is None:
@@ -379,10 +394,10 @@
 
     async def _expire_forever(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             now_ms = clock.suspended_ms()
             self._tell(
                 listings.remove_expired(
-                    self.listing, now_ms, self.away_since_ms
+                    self.listing, now_ms, self.unavailable_since_ms
                 )
             )
--- a/topazring/pooler/hearing.py
+++ b/topazring/pooler/follower_client.py
@@ -9,52 +9,52 @@
 from topazring.plumbing import events
 from topazring.pooler import peers
 
-__all__ = ['Heard', 'Hearer']
+__all__ = ['FollowerAnswer', 'FollowerClient']
 
 # The parts of the time within which a change has to be in force: a follower's
 # own watch takes one of them, a hearer's question another, and the third is
 # left for another follower, or the service itself, where one is lost.
-PARTS = 3
+DEADLINE_PARTS = 3
 # A follower's last answer of the service may be older than its watch by what
 # that is late, and by what the answer takes to come here.
 AGE_SLACK_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Heard:
+class FollowerAnswer:
     """Hold what a follower told, and for when it was complete."""
 
-    told: peers.Told
+    told: peers.PeerAnswer
     confirmed_ms: int
 
 
-class Hearer:
+class FollowerClient:
     """Own the questions to followers; remember whom to hear."""
 
     def __init__(
         self,
         name: str,
         data_centre: str,
-        asker: peers.Asker,
+        asker: peers.PeerClient,
         log: events.EventLog,
         in_force_ms: int,
     ):
         self.name = name
         self.data_centre = data_centre
-        self.asker = asker
+        self.peer_client = asker
         self.log = log
         self.in_force_ms = in_force_ms
         # How long a question waits for a change.
-        self.wait_ms = in_force_ms // PARTS
+        self.wait_ms = in_force_ms // DEADLINE_PARTS
         self.hearing = followers.FollowerBackoff()
         # Whom this proxy hears; empty while it asks the service itself.
         self.source = ''
 
-    async def hear(
+    async def poll(
         self,
         proxies: collections.abc.Iterable[listings.ProxyRecord],
         after: int,
-    ) -> Heard | None:
+    ) -> FollowerAnswer | None:
         """Return what a follower tells; None if the service is to be asked.
 
         A follower that is heard for the first time, or again after a
@@ -72,10 +72,12 @@
                 self._change_source('')
                 return None
             wait_ms = self.wait_ms if source == self.source else 0
-            told = await self.asker.ask_one(addresses[source], after, wait_ms)
+            told = await self.peer_client.fetch_changes(
+                addresses[source], after, wait_ms
+            )
             if told is not None and self._will_do(told):
                 self._change_source(source)
-                return Heard(told, now_ms - told.age_ms)
+                return FollowerAnswer(told, now_ms - told.age_ms)
             self._pass_over(source, told)
 
     def watch_ms(
@@ -100,7 +102,7 @@
             if record.data_centre == self.data_centre and record.peer_address
         }
 
-    def _will_do(self, told: peers.Told) -> bool:
+    def _will_do(self, told: peers.PeerAnswer) -> bool:
         """Say whether a proxy knows what the service says now.
 
         One that hears another itself must not be heard: two that heard each
@@ -108,7 +110,7 @@
         """
         return told.follows and told.age_ms <= self.wait_ms + AGE_SLACK_MS
 
-    def _pass_over(self, source: str, told: peers.Told | None) -> None:
+    def _pass_over(self, source: str, told: peers.PeerAnswer | None) -> None:
         followers.record_failure(self.hearing, clock.suspended_ms(), source)
         inputs = {'follower': source, 'answered': told is not None}
         if told is not None:
--- a/topazring/pooler/group_task.py
+++ b/topazring/pooler/group_task.py
@@ -19,11 +19,11 @@
 __all__ = ['GroupTask']
 
 # EX_SOFTWARE of sysexits.h.
-EXIT_BROKEN = 70
+EXIT_BROKEN_INVARIANT = 70
 # A state that breaks again and again is not mended by beginning anew; then
 # the process ends, and all that it holds in memory with it.
-MOST_RESTARTS = 3
-RESTARTS_WITHIN_MS = 60_000
+MAX_RESTARTS = 3
+RESTART_WINDOW_MS = 60_000
 # What a group is told once and goes on knowing when it begins anew, in the
 # order in which it needs it.
 _LASTING = (
@@ -59,18 +59,18 @@
         # The last of each kind of message that a new state needs again.
         self.told: dict[type, object] = {}
         self.restarts_ms: collections.deque[int] = collections.deque(
-            maxlen=MOST_RESTARTS
+            maxlen=MAX_RESTARTS
         )
         self.tasks: set[asyncio.Task] = set()
         # Called when the duty may be lost: an order was refused, or this
         # process stood still.
-        self.doubt_duty = None
+        self.request_lease_recheck = None
         # Says, right before an order, whether the duty is still ours.
-        self.may_order = None
+        self.verify_holder = None
         # Reads anew what is listed, and tells what has changed.
-        self.read_list = None
+        self.read_upstream_list = None
         # Called when another proxy should have the duty.
-        self.yield_duty = None
+        self.yield_lease = None
 
     def start(self) -> None:
         """Begin to tick."""
@@ -133,8 +133,8 @@
         """
         now_ms = clock.suspended_ms()
         self._tell_broken(error)
-        full = len(self.restarts_ms) == MOST_RESTARTS
-        if full and now_ms - self.restarts_ms[0] < RESTARTS_WITHIN_MS:
+        full = len(self.restarts_ms) == MAX_RESTARTS
+        if full and now_ms - self.restarts_ms[0] < RESTART_WINDOW_MS:
             self._end_process()
         self.restarts_ms.append(now_ms)
         broken, self.state = self.state, restart.recreate_state(self.state)
@@ -170,8 +170,8 @@
             case messages.ReadUpstreamList():
                 self._spawn(self._read_list(out))
             case messages.YieldPromotionLease():
-                if self.yield_duty:
-                    self.yield_duty(out.why)
+                if self.yield_lease:
+                    self.yield_lease(out.why)
             case messages.LogDecision():
                 self.log.emit(
                     'group', out.what, out.request_id, self.service, out.inputs
@@ -184,12 +184,12 @@
 
     def _open(self, out: messages.Open) -> None:
         link = upstream_link.UpstreamLink(
-            out.connection, self.adapter.upstreams, self.post_link
+            out.connection, self.adapter.upstreams, self.handle_link_message
         )
         self.links[out.connection] = link
         link.start(self.service, out.upstream, out.address)
 
-    def post_link(self, message: object) -> None:
+    def handle_link_message(self, message: object) -> None:
         """Take in what a link tells; forget the link at its end."""
         if isinstance(message, messages.Closed):
             self.links.pop(message.connection, None)
@@ -197,7 +197,7 @@
 
     async def _order(self, out: messages.OrderPromotion) -> None:
         result = messages.OrderResult.REFUSED
-        if self.may_order is None or await self.may_order():
+        if self.verify_holder is None or await self.verify_holder():
             result = await self.adapter.orders.promote(
                 self.service, out.upstream, self.name, out.token
             )
@@ -212,11 +212,16 @@
             },
         )
         self.post(messages.PromotionOrdered(out.upstream, out.token, result))
-        if result is messages.OrderResult.REFUSED and self.doubt_duty:
-            self.doubt_duty()
+        if (
+            result is messages.OrderResult.REFUSED
+            and self.request_lease_recheck
+        ):
+            self.request_lease_recheck()
 
     async def _read_list(self, out: messages.ReadUpstreamList) -> None:
-        told = self.read_list is None or await self.read_list()
+        told = (
+            self.read_upstream_list is None or await self.read_upstream_list()
+        )
         self.post(messages.UpstreamListRead(out.token, told))
 
     async def _tick_forever(self) -> None:
@@ -229,8 +234,8 @@
             before_ms = now_ms
             self.post(messages.Tick(max(0, paused_ms)))
             paused = paused_ms >= groups_synchronous.LEASE_RECHECK_PAUSE_MS
-            if paused and self.doubt_duty:
-                self.doubt_duty()
+            if paused and self.request_lease_recheck:
+                self.request_lease_recheck()
 
     def _tell_broken(self, error: BaseException) -> None:
         self.log.emit(
@@ -244,4 +249,4 @@
     def _end_process(self) -> None:
         """End at once: a broken invariant must not serve anyone."""
         self.log.close()
-        os._exit(EXIT_BROKEN)
+        os._exit(EXIT_BROKEN_INVARIANT)
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -22,15 +22,15 @@
 __all__ = ['Link']
 
 # A peer answers a connection within milliseconds.
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 # A link with requests under way that has been silent for so long is asked
 # for a sign of life, and given up after so much longer: a statement takes
 # 10 to 20 ms, a caller has 600.
-QUIET_MS = 150
-SILENT_MS = 400
-WATCH_S = 0.05
+PING_AFTER_MS = 150
+SILENCE_TIMEOUT_MS = 400
+WATCH_INTERVAL_S = 0.05
 # The answer takes a little of the caller's time on its way back.
-MARGIN_MS = 5
+RETURN_MARGIN_MS = 5
 
 
 class Link:
@@ -53,7 +53,7 @@
             task.cancel()
         self._end()
 
-    async def ask(
+    async def send_request(
         self,
         request: messages.Request,
         deadline_ms: int,
@@ -86,8 +86,10 @@
             self.heard_ms = clock.suspended_ms()
         self.asked[number] = answer
         self.in_use.set()
-        left_ms = deadline_ms - clock.suspended_ms() - MARGIN_MS
-        hop_frames.write(stream, hop_frames.Ask(number, left_ms, request))
+        left_ms = deadline_ms - clock.suspended_ms() - RETURN_MARGIN_MS
+        hop_frames.write(
+            stream, hop_frames.RequestFrame(number, left_ms, request)
+        )
         told = await answer
         if isinstance(told, forwarding.LinkLost):
             return told
@@ -99,7 +101,7 @@
         """Tell the owner to undo a transaction."""
         if self.stream is not None:
             hop_frames.write(
-                self.stream, hop_frames.Withdraw(service, transaction)
+                self.stream, hop_frames.WithdrawFrame(service, transaction)
             )
 
     async def _open(self) -> iostream.IOStream | None:
@@ -112,7 +114,7 @@
     async def _connect(self) -> iostream.IOStream | None:
         target = settings.endpoint(self.address)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 stream = await dialling.KeepaliveClient().connect(
                     target.host, target.port
                 )
@@ -134,7 +136,7 @@
             while True:
                 frame = await hop_frames.read(reader)
                 self.heard_ms = clock.suspended_ms()
-                if isinstance(frame, hop_frames.Told):
+                if isinstance(frame, hop_frames.AnswerFrame):
                     self._take(frame)
         except (OSError, iostream.StreamClosedError, ValueError):
             # What was asked is told that the link is lost.
@@ -143,7 +145,7 @@
             if self.stream is stream:
                 self._end()
 
-    def _take(self, told: hop_frames.Told) -> None:
+    def _take(self, told: hop_frames.AnswerFrame) -> None:
         # An outcome that is not known here ends the link like any other bytes
         # that are no frame: read it before it is anyone's answer.
         outcome = hop_frames.to_outcome(told)
@@ -159,14 +161,14 @@
         """
         while not stream.closed():
             await self.in_use.wait()
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             if not self.asked:
                 self.in_use.clear()
                 continue
             silent_ms = clock.suspended_ms() - self.heard_ms
-            if silent_ms >= SILENT_MS:
+            if silent_ms >= SILENCE_TIMEOUT_MS:
                 stream.close()
-            elif silent_ms >= QUIET_MS:
+            elif silent_ms >= PING_AFTER_MS:
                 hop_frames.write(stream, framing.Ping())
 
     def _end(self) -> None:
--- a/topazring/pooler/hop_frames.py
+++ b/topazring/pooler/hop_frames.py
@@ -11,18 +11,18 @@
 from topazring.plumbing import framing
 
 __all__ = [
-    'Ask',
+    'RequestFrame',
     'Frame',
-    'Told',
-    'Withdraw',
+    'AnswerFrame',
+    'WithdrawFrame',
     'read',
     'to_outcome',
-    'to_told',
+    'to_answer_frame',
     'write',
 ]
 
 
-class Ask(msgspec.Struct, array_like=True, tag='q'):
+class RequestFrame(msgspec.Struct, array_like=True, tag='q'):
     """Carry a request; `left_ms` is what is left of its time."""
 
     id: int
@@ -30,7 +30,7 @@
     request: messages.Request
 
 
-class Told(msgspec.Struct, array_like=True, tag='a'):
+class AnswerFrame(msgspec.Struct, array_like=True, tag='a'):
     """Carry an answer, by the name of its kind."""
 
     id: int
@@ -46,24 +46,26 @@
     waiting: int = 0
 
 
-class Withdraw(msgspec.Struct, array_like=True, tag='w'):
+class WithdrawFrame(msgspec.Struct, array_like=True, tag='w'):
     """Say that a transaction's caller is gone, or rolled it back."""
 
     service: str
     transaction: int
 
 
-Frame = Ask | Told | Withdraw | framing.Ping | framing.Pong
+Frame = (
+    RequestFrame | AnswerFrame | WithdrawFrame | framing.Ping | framing.Pong
+)
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Frame).decode
 
 
-def to_told(number: int, outcome: outcomes.Outcome) -> Told:
+def to_answer_frame(number: int, outcome: outcomes.Outcome) -> AnswerFrame:
     """Return the frame for an answer."""
     kind = type(outcome).__name__
     match outcome:
         case outcomes.Done():
-            return Told(
+            return AnswerFrame(
                 number,
                 kind,
                 outcome.rows,
@@ -72,21 +74,21 @@
                 outcome.served_by,
             )
         case outcomes.NotRun():
-            return Told(
+            return AnswerFrame(
                 number,
                 kind,
                 reason=outcome.reason,
                 retry_after_ms=outcome.retry_after_ms,
             )
         case outcomes.Unknown():
-            return Told(number, kind, reason=outcome.reason)
+            return AnswerFrame(number, kind, reason=outcome.reason)
         case outcomes.Rejected():
-            return Told(
+            return AnswerFrame(
                 number, kind, reason=outcome.reason, detail=outcome.detail
             )
 
 
-def to_outcome(told: Told) -> outcomes.Outcome:
+def to_outcome(told: AnswerFrame) -> outcomes.Outcome:
     """Return the answer that a frame carries; ValueError if it is none."""
     match told.kind:
         case 'Done':
--- a/topazring/pooler/hop_server.py
+++ b/topazring/pooler/hop_server.py
@@ -20,7 +20,7 @@
 
 
 # Of what is wrong with a frame so many characters are told.
-BAD_FRAME = 200
+MAX_ERROR_CHARS = 200
 
 
 class Host(typing.Protocol):
@@ -28,13 +28,15 @@
 
     log: events.EventLog
 
-    async def serve_other(self, request: messages.Request) -> outcomes.Outcome:
+    async def serve_for_peer(
+        self, request: messages.Request
+    ) -> outcomes.Outcome:
         """Serve another proxy's request, without asking a third."""
 
-    def withdraw_here(self, service: str, transaction: int) -> None:
+    def withdraw_locally(self, service: str, transaction: int) -> None:
         """Undo a transaction that was begun here."""
 
-    def waiting_here(self, service: str) -> int:
+    def queued_locally(self, service: str) -> int:
         """Return how many requests wait here for a service."""
 
     def next_key(self) -> int:
@@ -47,7 +49,7 @@
     def __init__(self, host: Host):
         super().__init__()
         self.host = host
-        self.entries: dict[iostream.IOStream, _Entry] = {}
+        self.peer_streams: dict[iostream.IOStream, _PeerStream] = {}
 
     def start_at(self, address: str) -> None:
         """Listen."""
@@ -57,14 +59,14 @@
     def close(self) -> None:
         """Stop listening and end all streams."""
         self.stop()
-        for stream in list(self.entries):
+        for stream in list(self.peer_streams):
             stream.close()
 
     def is_busy(self) -> bool:
         """Say whether anything of another proxy is under way or open."""
         return any(
             entry.tasks or entry.transactions
-            for entry in self.entries.values()
+            for entry in self.peer_streams.values()
         )
 
     async def handle_stream(
@@ -72,27 +74,29 @@
     ) -> None:
         """Serve one proxy until its stream ends; undo what it left open."""
         dialling.keep_alive(stream.socket)
-        entry = _Entry(self.host, stream)
-        self.entries[stream] = entry
+        entry = _PeerStream(self.host, stream)
+        self.peer_streams[stream] = entry
         reader = framing.Reader(stream)
         try:
             while True:
-                entry.take(await hop_frames.read(reader))
+                entry.handle_frame(await hop_frames.read(reader))
         except ValueError as error:
             # Another version, or no proxy at all.
             self.host.log.emit(
-                'hop', 'bad frame', inputs={'error': str(error)[:BAD_FRAME]}
+                'hop',
+                'bad frame',
+                inputs={'error': str(error)[:MAX_ERROR_CHARS]},
             )
         except (OSError, iostream.StreamClosedError):
             # It left, which it knows; what it had open is undone.
             pass
         finally:
-            del self.entries[stream]
+            del self.peer_streams[stream]
             entry.undo()
             stream.close()
 
 
-class _Entry:
+class _PeerStream:
     """Hold what one other proxy has under way here."""
 
     def __init__(self, host: Host, stream: iostream.IOStream):
@@ -102,15 +106,15 @@
         self.transactions: dict[int, tuple[int, str]] = {}
         self.tasks: set[asyncio.Task] = set()
 
-    def take(self, frame: hop_frames.Frame) -> None:
+    def handle_frame(self, frame: hop_frames.Frame) -> None:
         """Take in one frame."""
         match frame:
-            case hop_frames.Ask():
+            case hop_frames.RequestFrame():
                 request = self._adopt(frame)
                 task = asyncio.create_task(self._serve(frame, request))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
-            case hop_frames.Withdraw():
+            case hop_frames.WithdrawFrame():
                 self._withdraw(frame.transaction)
             case framing.Ping():
                 hop_frames.write(self.stream, framing.Pong())
@@ -118,9 +122,9 @@
                 raise ValueError('no question')
 
     async def _serve(
-        self, ask: hop_frames.Ask, request: messages.Request
+        self, ask: hop_frames.RequestFrame, request: messages.Request
     ) -> None:
-        outcome = await self.host.serve_other(request)
+        outcome = await self.host.serve_for_peer(request)
         theirs = ask.request.transaction
         ends = request.statement.verb.ends_transaction
         if theirs and (ends or not isinstance(outcome, outcomes.Done)):
@@ -130,13 +134,13 @@
                 # It may have ended before the request was taken in: what that
                 # began was not there yet to be undone.
                 service = request.policy.service
-                self.host.withdraw_here(service, request.transaction)
+                self.host.withdraw_locally(service, request.transaction)
             return
-        told = hop_frames.to_told(ask.id, outcome)
-        told.waiting = self.host.waiting_here(request.policy.service)
+        told = hop_frames.to_answer_frame(ask.id, outcome)
+        told.waiting = self.host.queued_locally(request.policy.service)
         hop_frames.write(self.stream, told)
 
-    def _adopt(self, ask: hop_frames.Ask) -> messages.Request:
+    def _adopt(self, ask: hop_frames.RequestFrame) -> messages.Request:
         """Return the request as one of this process.
 
         Its age and its proof count from its arrival here: later than where
@@ -163,7 +167,7 @@
     def _withdraw(self, theirs: int) -> None:
         known = self.transactions.pop(theirs, None)
         if known is not None:
-            self.host.withdraw_here(known[1], known[0])
+            self.host.withdraw_locally(known[1], known[0])
 
     def undo(self) -> None:
         """Undo all that its end leaves open."""
--- a/topazring/pooler/membership.py
+++ b/topazring/pooler/membership.py
@@ -13,11 +13,11 @@
 # A proxy that died counts for so long; meanwhile the others use a little
 # less than they could. A renewal is a call, so it is rare.
 TTL_MS = 30_000
-RENEW_S = 10.0
+RENEW_INTERVAL_S = 10.0
 RETRY_S = 1.0
 # The directory is read in some ten ms. With it a proxy that comes back knows
 # its predecessor's entry, and needs two calls less to replace it.
-READ_S = 0.3
+FIRST_READ_TIMEOUT_S = 0.3
 
 
 class Membership:
@@ -53,14 +53,14 @@
 
     async def _run(self) -> None:
         try:
-            async with asyncio.timeout(READ_S):
-                await self.directory.read.wait()
+            async with asyncio.timeout(FIRST_READ_TIMEOUT_S):
+                await self.directory.first_read.wait()
         except TimeoutError:
             self.log.emit('membership', 'enters before the first read')
         while True:
             if not self.lease:
                 await self._enter()
-            await asyncio.sleep(RENEW_S if self.lease else RETRY_S)
+            await asyncio.sleep(RENEW_INTERVAL_S if self.lease else RETRY_S)
             if self.lease:
                 answer = await self.store.keep(self.lease)
                 if isinstance(answer, key_value.Missing):
@@ -70,7 +70,7 @@
         leased = await self.store.lease(TTL_MS)
         if not isinstance(leased, key_value.Leased):
             return
-        before = self.directory.own(self.key)
+        before = self.directory.own_value(self.key)
         revision = before.revision if before else 0
         written = await self._write(leased.lease, revision)
         if isinstance(written, key_value.Conflict):
--- a/topazring/pooler/metrics.py
+++ b/topazring/pooler/metrics.py
@@ -10,8 +10,8 @@
 __all__ = ['Metrics', 'PATH']
 
 PATH = '/metrics'
-MOST_MS = 60_000
-DIGITS = 1
+MAX_LATENCY_MS = 60_000
+SIGNIFICANT_DIGITS = 1
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -31,9 +31,11 @@
         self.answers[(kind, name, reason)] += 1
         recorded = self.latency.get(kind)
         if recorded is None:
-            recorded = histogram.HdrHistogram(1, MOST_MS, DIGITS)
+            recorded = histogram.HdrHistogram(
+                1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
+            )
             self.latency[kind] = recorded
-        recorded.record_value(max(1, min(took_ms, MOST_MS)))
+        recorded.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
 
     def render(
         self,
--- a/topazring/pooler/peers.py
+++ b/topazring/pooler/peers.py
@@ -22,22 +22,22 @@
 from topazring.plumbing import http_calls
 from topazring.pooler import settings
 
-__all__ = ['ASK_S', 'Asker', 'PATH', 'Server', 'Told']
+__all__ = ['ASK_TIMEOUT_S', 'PeerClient', 'PATH', 'Server', 'PeerAnswer']
 
 PATH = '/changes'
-ASK_S = 0.4
+ASK_TIMEOUT_S = 0.4
 # No change has to be in force later than some seconds after it was made.
-MOST_WAIT_MS = 30_000
+MAX_WAIT_MS = 30_000
 # A follower's link carries each change once a hearer. A configuration of
 # 1,400 databases is 0.25 MB: twelve of these take a link of 5 Mbit/s for 4.7
 # of the five seconds in which it has to be in force, and what the follower
 # serves waits behind them. Packed it is a seventh of that, 0.7 s.
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 # An answer with much to tell may come so much later than it was to wait.
-LATE_SHARE = 0.5
+WAIT_SLACK_SHARE = 0.5
 
 
-class Told(msgspec.Struct):
+class PeerAnswer(msgspec.Struct):
     """Hold what a peer knows."""
 
     revision: int
@@ -61,18 +61,18 @@
     changes: bytes
 
 
-def pack(changes: list[revisions.Change]) -> bytes:
+def compress_changes(changes: list[revisions.Change]) -> bytes:
     """Return changes as they go out."""
-    return zlib.compress(msgspec.json.encode(changes), PACK_LEVEL)
+    return zlib.compress(msgspec.json.encode(changes), COMPRESSION_LEVEL)
 
 
-def _unpack(body: bytes) -> Told:
+def _unpack(body: bytes) -> PeerAnswer:
     """Return what was told; MsgspecError or zlib.error if it is no such."""
     packed = msgspec.msgpack.decode(body, type=_Packed)
     changes = msgspec.json.decode(
         zlib.decompress(packed.changes), type=list[revisions.Change]
     )
-    return Told(
+    return PeerAnswer(
         packed.revision,
         packed.complete,
         changes,
@@ -81,19 +81,21 @@
     )
 
 
-Tell = collections.abc.Callable[[int, int], collections.abc.Awaitable[Told]]
+ReadChanges = collections.abc.Callable[
+    [int, int], collections.abc.Awaitable[PeerAnswer]
+]
 
 
 class Server:
     """Answer peers."""
 
-    def __init__(self, tell: Tell):
+    def __init__(self, tell: ReadChanges):
         # Says what changed after a revision; waits that many ms for it.
-        self.tell = tell
+        self.read_changes = tell
         self.server = httpserver.HTTPServer(self._take)
         # What was last packed, and for which question and revision: most
         # hearers stand at the same one.
-        self.packed = ((0, 0), pack([]))
+        self.packed = ((0, 0), compress_changes([]))
         self.tasks: set[asyncio.Task] = set()
 
     def start(self, address: str) -> None:
@@ -117,14 +119,16 @@
         after = request.arguments.get('after', [b'0'])[0]
         wait_ms = request.arguments.get('wait_ms', [b'0'])[0]
         if request.path == PATH and after.isdigit() and wait_ms.isdigit():
-            told = await self.tell(int(after), min(int(wait_ms), MOST_WAIT_MS))
+            told = await self.read_changes(
+                int(after), min(int(wait_ms), MAX_WAIT_MS)
+            )
             code, body = 200, self._pack(int(after), told)
         http_calls.answer(request, code, body)
 
-    def _pack(self, after: int, told: Told) -> bytes:
+    def _pack(self, after: int, told: PeerAnswer) -> bytes:
         question = (after, told.revision)
         if self.packed[0] != question:
-            self.packed = (question, pack(told.changes))
+            self.packed = (question, compress_changes(told.changes))
         return msgspec.msgpack.encode(
             _Packed(
                 told.revision,
@@ -136,7 +140,7 @@
         )
 
 
-class Asker:
+class PeerClient:
     """Ask peers what they know."""
 
     def __init__(self, seeds: tuple[str, ...], own_address: str):
@@ -149,20 +153,20 @@
         """Close the connections."""
         self.client.close()
 
-    def choose(self, addresses: set[str], count: int) -> list[str]:
+    def choose_peers(self, addresses: set[str], count: int) -> list[str]:
         """Return some peers to ask, others each time."""
         known = sorted((addresses | set(self.seeds)) - {self.own_address})
         return random.sample(known, min(count, len(known)))
 
-    async def ask_one(
+    async def fetch_changes(
         self, address: str, after: int, wait_ms: int = 0
-    ) -> Told | None:
+    ) -> PeerAnswer | None:
         """Return what a peer knows after a revision, None if it is silent.
 
         One that knows nothing newer waits that long for it.
         """
         url = f'http://{address}{PATH}?after={after}&wait_ms={wait_ms}'
-        timeout_s = max(ASK_S, wait_ms / 1000 * (1 + LATE_SHARE))
+        timeout_s = max(ASK_TIMEOUT_S, wait_ms / 1000 * (1 + WAIT_SLACK_SHARE))
         reply = await http_calls.call(
             self.client, 'GET', url, timeout_s=timeout_s
         )
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -20,18 +20,18 @@
 from topazring.pooler import caller_server
 from topazring.pooler import caller_task
 from topazring.pooler import directory as directories
-from topazring.pooler import duty as duties
+from topazring.pooler import follower_client
 from topazring.pooler import group_task
-from topazring.pooler import hearing
 from topazring.pooler import hop_server
-from topazring.pooler import leaving
 from topazring.pooler import membership
 from topazring.pooler import metrics as metric_sets
 from topazring.pooler import peers
 from topazring.pooler import ports
 from topazring.pooler import probes
+from topazring.pooler import promotion_lease as duties
 from topazring.pooler import router
 from topazring.pooler import settings
+from topazring.pooler import shutdown
 
 __all__ = ['Pooler', 'serve']
 
@@ -56,18 +56,18 @@
         self.incarnation = f'{config.name}-{secrets.token_hex(4)}'
         self.log = events.EventLog(config.name)
         self.metrics = metric_sets.Metrics()
-        self.stopping = caller_task.Stopping.NO
+        self.shutdown_phase = caller_task.ShutdownPhase.RUNNING
         # When this process ends; None while it stays.
-        self.ends_ms: int | None = None
+        self.exit_deadline_ms: int | None = None
         self.groups: dict[str, group_task.GroupTask] = {}
         self.keys = itertools.count(1)
         self.holds = False
         self.token = 0
-        asker = peers.Asker(config.peers, config.peer_address or '')
+        asker = peers.PeerClient(config.peers, config.peer_address or '')
         self.directory = directories.Directory(
             adapter,
             asker,
-            hearing.Hearer(
+            follower_client.FollowerClient(
                 config.name,
                 config.data_centre,
                 asker,
@@ -88,8 +88,8 @@
             self.directory,
             self.log,
         )
-        self.peer_server = peers.Server(self.directory.tell)
-        self.duty = duties.Duty(
+        self.peer_server = peers.Server(self.directory.changes_after)
+        self.promotion_lease = duties.PromotionLease(
             self.incarnation,
             adapter.store,
             self.directory,
@@ -118,7 +118,7 @@
         )
         self.directory.start()
         self.membership.start()
-        self.duty.start()
+        self.promotion_lease.start()
         if self.config.peer_address:
             self.peer_server.start(self.config.peer_address)
         if self.config.hop_address:
@@ -137,15 +137,19 @@
 
     async def run(self, request: messages.Request) -> outcomes.Outcome:
         """Serve a request here or at another proxy."""
-        return await self.router.run(leaving.in_time(request, self.ends_ms))
+        return await self.router.run(
+            shutdown.limit_timeout(request, self.exit_deadline_ms)
+        )
 
     def withdraw(self, service: str, transaction: int) -> None:
         """Undo a transaction, wherever it was begun."""
         self.router.withdraw(service, transaction)
 
-    async def serve_here(self, request: messages.Request) -> outcomes.Outcome:
+    async def serve_locally(
+        self, request: messages.Request
+    ) -> outcomes.Outcome:
         """Serve a request without asking another proxy."""
-        last = self.stopping is caller_task.Stopping.LAST
+        last = self.shutdown_phase is caller_task.ShutdownPhase.REFUSE_NEW
         if last and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
         group = self.groups.get(request.policy.service)
@@ -153,22 +157,24 @@
             return forwarding.unconfigured_outcome()
         return await group.submit(request)
 
-    async def serve_other(self, request: messages.Request) -> outcomes.Outcome:
+    async def serve_for_peer(
+        self, request: messages.Request
+    ) -> outcomes.Outcome:
         """Serve another proxy's request, without asking a third.
 
         Nothing new is begun for others once this process leaves: they have
         other owners, and it has its own callers to let go.
         """
-        if self.leaving and not request.continues_transaction:
+        if self.is_shutting_down and not request.continues_transaction:
             return outcomes.NotRun(outcomes.Reason.DRAINING, 0)
-        return await self.serve_here(request)
+        return await self.serve_locally(request)
 
-    def waiting_here(self, service: str) -> int:
+    def queued_locally(self, service: str) -> int:
         """Return how many requests wait here for a service."""
         group = self.groups.get(service)
         return 0 if group is None else request_queues.count(group.state)
 
-    def withdraw_here(self, service: str, transaction: int) -> None:
+    def withdraw_locally(self, service: str, transaction: int) -> None:
         """Undo a transaction that was begun here."""
         group = self.groups.get(service)
         if group is not None:
@@ -225,7 +231,7 @@
                 group = self._make_group(service)
             upstreams = listings.upstreams_of(listing, now_ms, service)
             owned = ownership.select_owners(service, proxies, limit)
-            self.router.owned[service] = owned
+            self.router.ownerships[service] = owned
             rank = owned.rank_of(self.config.name)
             count = len(owned.owners)
             group.post(messages.InstancesSeen(count, limit, rank))
@@ -240,10 +246,10 @@
             self.adapter,
             self.log,
         )
-        group.doubt_duty = self.duty.doubt
-        group.may_order = self.duty.may_order
-        group.read_list = self.directory.catch_up
-        group.yield_duty = self.duty.yield_to_another
+        group.request_lease_recheck = self.promotion_lease.request_recheck
+        group.verify_holder = self.promotion_lease.verify_holder
+        group.read_upstream_list = self.directory.catch_up
+        group.yield_lease = self.promotion_lease.yield_lease
         self.groups[service] = group
         group.start()
         if self.holds:
@@ -252,7 +258,7 @@
 
     def _drop_group(self, service: str) -> None:
         group = self.groups.pop(service, None)
-        self.router.owned.pop(service, None)
+        self.router.ownerships.pop(service, None)
         if group is not None:
             group.close()
 
@@ -270,13 +276,13 @@
         return self.caller_server.callers
 
     @property
-    def leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Say whether this process has been told to stop."""
-        return self.ends_ms is not None
+        return self.exit_deadline_ms is not None
 
     def ready(self) -> bool:
         """Say whether callers should be sent here."""
-        return self.configured() and not self.leaving
+        return self.configured() and not self.is_shutting_down
 
     def _counters(self) -> collections.Counter[str]:
         counters: collections.Counter[str] = collections.Counter()
@@ -317,7 +323,7 @@
         self.caller_server.stop()
         self.probe_server.close()
         self.peer_server.close()
-        await leaving.answer_what_is_left(self)
+        await shutdown.flush_answers(self)
         self.hop_server.close()
         self.directory.close()
         try:
@@ -355,7 +361,7 @@
     gc.freeze()
     await told.wait()
     told.clear()
-    draining = asyncio.create_task(leaving.drain(pooler))
+    draining = asyncio.create_task(shutdown.drain(pooler))
     again = asyncio.create_task(told.wait())
     await asyncio.wait({draining, again}, return_when=asyncio.FIRST_COMPLETED)
     draining.cancel()
--- a/topazring/pooler/duty.py
+++ b/topazring/pooler/promotion_lease.py
@@ -19,10 +19,10 @@
 from topazring.plumbing import events
 from topazring.pooler import directory as directories
 
-__all__ = ['Duty']
+__all__ = ['PromotionLease']
 
-DUTY_KEY = directories.OWN_PREFIX + 'duty'
-BLOCK_KEY = directories.OWN_PREFIX + 'block'
+LEASE_KEY = directories.OWN_PREFIX + 'duty'
+TOKEN_BLOCK_KEY = directories.OWN_PREFIX + 'block'
 # Orders that one holder can tell apart in its time; a promotion takes one,
 # so thousands of promotions fit.
 BLOCK_TOKENS = 10_000
@@ -31,27 +31,27 @@
 # one waits for its answer. On a replayed day a lost holder was followed 3.0 s
 # later; with a lease of 3 s, 4.2 s later.
 TTL_MS = 2000
-RENEW_S = 0.6
+RENEW_INTERVAL_S = 0.6
 # While the service is away nobody else can take the duty, and the holder
 # goes on. If it is this instance alone that is turned away, another takes
 # over with higher tokens, and peers tell; past this it stops in any case.
-BEYOND_LEASE_MS = 15_000
+MAX_HOLD_BEYOND_LEASE_MS = 15_000
 # All see at the same time that the duty is free.
 JITTER_S = 0.15
 # A fleet that starts does, and its proxies do not know each other yet. The
 # first of eight is there after a tenth of a second, of two hundred at once.
-STARTING_JITTER_S = 1.0
+STARTUP_JITTER_S = 1.0
 # Who only hears what changes leaves the duty to those that follow the
 # service: of a large fleet hundreds would write for it at once.
-HEARER_PAUSE_S = 1.0
+NON_FOLLOWER_DELAY_S = 1.0
 RETRY_S = 0.5
 # Right before an order the holder asks for so long whether it still holds the
 # duty. The store and peers answer in milliseconds; each 100 ms more keep a
 # group without a primary for as long.
-CHECK_S = 0.25
+ORDER_CHECK_TIMEOUT_S = 0.25
 # Partitions last for seconds; if all others are as badly off, this one tries
 # again after that.
-YIELD_MS = 3000
+YIELD_PAUSE_MS = 3000
 
 
 class _Holder(msgspec.Struct):
@@ -65,7 +65,7 @@
 _HolderRead = _Holder | key_value.Missing | key_value.Unavailable
 
 
-class Duty:
+class PromotionLease:
     """Take, keep and give back the duty."""
 
     def __init__(
@@ -86,8 +86,8 @@
         self.lease = 0
         self.valid_until_ms = 0
         self.doubted = asyncio.Event()
-        self.yielded_ms = -YIELD_MS
-        self.jitter_s = STARTING_JITTER_S
+        self.yielded_ms = -YIELD_PAUSE_MS
+        self.jitter_s = STARTUP_JITTER_S
         self.ending: asyncio.Task | None = None
         self.task: asyncio.Task | None = None
 
@@ -105,11 +105,11 @@
         if lease:
             await self.store.end(lease)
 
-    def doubt(self) -> None:
+    def request_recheck(self) -> None:
         """Ask the service again: an order was refused."""
         self.doubted.set()
 
-    def yield_to_another(self, why: str) -> None:
+    def yield_lease(self, why: str) -> None:
         """Give the duty up, and leave it to others for a while."""
         if not self.holds:
             return
@@ -119,7 +119,7 @@
         if lease:
             self.ending = asyncio.create_task(self.store.end(lease))
 
-    async def may_order(self) -> bool:
+    async def verify_holder(self) -> bool:
         """Make sure, right before an order, that the duty is still ours.
 
         The platform may carry out whatever it is told, also by a holder that
@@ -131,14 +131,14 @@
         """
         if not self.holds:
             return False
-        if self.directory.away_since_ms is None:
+        if self.directory.unavailable_since_ms is None:
             answer = await self._check_holder()
             if isinstance(answer, _Holder):
                 return self._is_ours(answer)
             if isinstance(answer, key_value.Missing):
                 self._give_up('the duty has no holder')
                 return False
-        if not await self.directory.ask_peers(CHECK_S):
+        if not await self.directory.ask_peers(ORDER_CHECK_TIMEOUT_S):
             self._give_up('neither store nor peers answer')
             return False
         successor = self._successor()
@@ -149,13 +149,13 @@
     async def _check_holder(self) -> _HolderRead:
         """Read who holds the duty in the time that an order has for it."""
         try:
-            async with asyncio.timeout(CHECK_S):
+            async with asyncio.timeout(ORDER_CHECK_TIMEOUT_S):
                 return await self._read_holder()
         except TimeoutError:
             return key_value.Unavailable('no answer in time')
 
     async def _read_holder(self) -> _HolderRead:
-        answer = await self.store.get(DUTY_KEY)
+        answer = await self.store.get(LEASE_KEY)
         if isinstance(answer, key_value.Found):
             found = self._decode(answer.value)
             return found or key_value.Missing()
@@ -191,10 +191,10 @@
                 await self._changed()
 
     def _is_free(self) -> bool:
-        if clock.suspended_ms() - self.yielded_ms < YIELD_MS:
+        if clock.suspended_ms() - self.yielded_ms < YIELD_PAUSE_MS:
             return False
         known = self.directory.known.seen > 0
-        return known and self.directory.own(DUTY_KEY) is None
+        return known and self.directory.own_value(LEASE_KEY) is None
 
     async def _changed(self) -> None:
         self.directory.own_changed.clear()
@@ -209,7 +209,7 @@
         pause_s = random.uniform(0, self.jitter_s)
         self.jitter_s = JITTER_S
         if not self.directory.follows:
-            pause_s += HEARER_PAUSE_S
+            pause_s += NON_FOLLOWER_DELAY_S
         await asyncio.sleep(pause_s)
         if not self._is_free():
             return
@@ -221,15 +221,15 @@
         # Never one of an earlier try: it would end before its first renewal,
         # and the duty with it.
         self.lease = leased.lease
-        block = self.directory.own(BLOCK_KEY)
+        block = self.directory.own_value(TOKEN_BLOCK_KEY)
         token = _next_block(block)
         holder = _Holder(self.incarnation, token)
         text = msgspec.json.encode(holder).decode()
         answer = await self.store.put_all(
             (
-                key_value.Value(DUTY_KEY, text, 0, self.lease),
+                key_value.Value(LEASE_KEY, text, 0, self.lease),
                 key_value.Value(
-                    BLOCK_KEY, str(token), block.revision if block else 0
+                    TOKEN_BLOCK_KEY, str(token), block.revision if block else 0
                 ),
             )
         )
@@ -275,7 +275,10 @@
             self.valid_until_ms = asked_ms + TTL_MS
         elif isinstance(answer, key_value.Missing):
             self._give_up('the lease has ended')
-        elif clock.suspended_ms() > self.valid_until_ms + BEYOND_LEASE_MS:
+        elif (
+            clock.suspended_ms()
+            > self.valid_until_ms + MAX_HOLD_BEYOND_LEASE_MS
+        ):
             self._give_up('the service has been away for too long')
 
     def _successor(self) -> str:
@@ -286,7 +289,7 @@
         is past its lease for long: its orders are refused, but it resumes
         replicas that the other has paused.
         """
-        change = self.directory.own(DUTY_KEY)
+        change = self.directory.own_value(LEASE_KEY)
         if change is None:
             return ''
         found = self._decode(change.value)
@@ -296,7 +299,7 @@
     async def _is_doubted(self) -> bool:
         """Wait until the next renewal, or until the duty is in doubt."""
         try:
-            async with asyncio.timeout(RENEW_S):
+            async with asyncio.timeout(RENEW_INTERVAL_S):
                 return await self.doubted.wait()
         except TimeoutError:
             return False
--- a/topazring/pooler/router.py
+++ b/topazring/pooler/router.py
@@ -19,23 +19,25 @@
 
 # A proxy that could not be reached is left out for so long; longer each
 # time, up to the time in which one restarts.
-AVOID_MS = 500
+MIN_AVOID_MS = 500
 # One that could not serve a group is not asked for that group for so long: it
 # may be cut off with a primary that is replaced.
-CANNOT_MS = 1000
-MOST_AVOID_MS = 4000
+REFUSAL_AVOID_MS = 1000
+MAX_AVOID_MS = 4000
 
 
-class Local(typing.Protocol):
+class LocalServer(typing.Protocol):
     """Serve requests in this process."""
 
-    async def serve_here(self, request: messages.Request) -> outcomes.Outcome:
+    async def serve_locally(
+        self, request: messages.Request
+    ) -> outcomes.Outcome:
         """Return the request's one final answer."""
 
-    def withdraw_here(self, service: str, transaction: int) -> None:
+    def withdraw_locally(self, service: str, transaction: int) -> None:
         """Undo a transaction that was begun here."""
 
-    def waiting_here(self, service: str) -> int:
+    def queued_locally(self, service: str) -> int:
         """Return how many requests wait here for a service."""
 
 
@@ -60,14 +62,18 @@
     """Own the links to other proxies; remember who has a transaction."""
 
     def __init__(
-        self, name: str, data_centre: str, local: Local, log: events.EventLog
+        self,
+        name: str,
+        data_centre: str,
+        local: LocalServer,
+        log: events.EventLog,
     ):
         self.name = name
         self.data_centre = data_centre
         self.local = local
         self.log = log
         self.peers: dict[str, _Peer] = {}
-        self.owned: dict[str, ownership.Ownership] = {}
+        self.ownerships: dict[str, ownership.Ownership] = {}
         # Where each open transaction is, HERE or a proxy's name.
         self.begun: dict[int, str] = {}
         self.turns = itertools.count()
@@ -93,7 +99,7 @@
         """Return the request's one final answer."""
         if request.continues_transaction:
             return await self._go_on(request)
-        owned = self.owned.get(request.policy.service)
+        owned = self.ownerships.get(request.policy.service)
         if owned is None:
             return forwarding.unconfigured_outcome()
         plan = forwarding.Plan()
@@ -130,7 +136,7 @@
         if forwarding.is_final(request, answer):
             return answer
         if place in self.peers:
-            until_ms = clock.suspended_ms() + CANNOT_MS
+            until_ms = clock.suspended_ms() + REFUSAL_AVOID_MS
             self.peers[place].cannot_until_ms[request.policy.service] = (
                 until_ms
             )
@@ -160,14 +166,14 @@
         self, place: str, request: messages.Request
     ) -> outcomes.Outcome | forwarding.LinkLost:
         if place == forwarding.THIS_PROXY:
-            return await self.local.serve_here(request)
+            return await self.local.serve_locally(request)
         peer = self.peers.get(place)
         if peer is None:
             return forwarding.LinkLost(False)
         self.forwarded += 1
         deadline_ms = request.arrived_ms + request.policy.timeout_ms
         load = peer.load(request.policy.service)
-        answer = await peer.link.ask(request, deadline_ms, load)
+        answer = await peer.link.send_request(request, deadline_ms, load)
         self._note(place, peer, answer)
         return answer
 
@@ -184,7 +190,7 @@
         now_ms = clock.suspended_ms()
         if now_ms < peer.avoid_until_ms:
             return
-        avoid_ms = min(AVOID_MS * 2**peer.failures, MOST_AVOID_MS)
+        avoid_ms = min(MIN_AVOID_MS * 2**peer.failures, MAX_AVOID_MS)
         peer.failures += 1
         peer.avoid_until_ms = now_ms + avoid_ms
         inputs = {'proxy': place, 'sent': answer.sent, 'avoid_ms': avoid_ms}
@@ -193,7 +199,7 @@
     def _weigh(self, service: str, place: str) -> float | None:
         """Return how many requests are ahead there, None if not reachable."""
         if place == forwarding.THIS_PROXY:
-            return self.local.waiting_here(service)
+            return self.local.queued_locally(service)
         peer = self.peers.get(place)
         now_ms = clock.suspended_ms()
         if peer is None or now_ms < peer.avoid_until_ms:
@@ -206,6 +212,6 @@
         """Undo a transaction wherever it was begun."""
         place = self.begun.pop(transaction, None)
         if place == forwarding.THIS_PROXY:
-            self.local.withdraw_here(service, transaction)
+            self.local.withdraw_locally(service, transaction)
         elif place is not None and place in self.peers:
             self.peers[place].link.withdraw(service, transaction)
--- a/topazring/pooler/tests/fleet.py
+++ b/topazring/pooler/tests/fleet.py
@@ -12,7 +12,7 @@
 from topazring import key_value
 from topazring.plumbing import events
 from topazring.pooler import directory as directories
-from topazring.pooler import hearing
+from topazring.pooler import follower_client
 from topazring.pooler import peers
 
 CENTRE = 'cork'
@@ -101,19 +101,23 @@
         self.log = events.EventLog(name)
         self.versions: list[int] = []
         self.frozen = False
-        asker = peers.Asker((), self.address)
+        asker = peers.PeerClient((), self.address)
         self.directory = directories.Directory(
             types.SimpleNamespace(store=self.client, decode=_decode),
             asker,
-            hearing.Hearer(name, CENTRE, asker, self.log, IN_FORCE_MS),
+            follower_client.FollowerClient(
+                name, CENTRE, asker, self.log, IN_FORCE_MS
+            ),
             self.log,
             self.note,
         )
-        self.server = peers.Server(self.tell)
+        self.server = peers.Server(self.changes_after)
 
-    async def tell(self, after: int, wait_ms: int) -> peers.Told:
+    async def changes_after(
+        self, after: int, wait_ms: int
+    ) -> peers.PeerAnswer:
         """Tell a peer, unless this proxy stands still."""
-        told = await self.directory.tell(after, wait_ms)
+        told = await self.directory.changes_after(after, wait_ms)
         while self.frozen:
             await asyncio.sleep(0.02)
         return told
@@ -188,7 +192,7 @@
 
     def hearers(self) -> list[Proxy]:
         """Return who hears another."""
-        return [p for p in self.proxies if p.directory.hearer.source]
+        return [p for p in self.proxies if p.directory.follower_client.source]
 
     async def configure(self) -> None:
         """Have the operator write the next version."""
--- a/topazring/pooler/tests/test_hearing.py
+++ b/topazring/pooler/tests/test_follower_client.py
@@ -8,7 +8,7 @@
 
 from topazring.plumbing import events
 from topazring.pooler import directory as directories
-from topazring.pooler import hearing
+from topazring.pooler import follower_client
 from topazring.pooler import peers
 from topazring.pooler.tests import fleet as fleets
 
@@ -24,7 +24,7 @@
         async def run():
             self.fleet = fleets.Fleet(count)
             # All is listed when it starts, so nothing has to be gathered.
-            with mock.patch.object(directories, 'STARTING_S', 0.0):
+            with mock.patch.object(directories, 'STARTUP_S', 0.0):
                 await self.fleet.start()
                 await steps()
             self.fleet.close()
@@ -100,7 +100,7 @@
             await self.fleet.service.put(key, '1')
             await fleets.until(
                 lambda: all(
-                    p.directory.own(key) is not None
+                    p.directory.own_value(key) is not None
                     for p in self.fleet.proxies
                 )
             )
@@ -111,7 +111,7 @@
             self.fleet.service.forget()
             await self.fleet.in_force(self.fleet.proxies)
             for proxy in self.fleet.proxies:
-                self.assertIsNone(proxy.directory.own(key))
+                self.assertIsNone(proxy.directory.own_value(key))
             read = sum(p.client.reads for p in self.fleet.proxies) - before
             self.assertLessEqual(read, 2 + 2)
 
@@ -175,14 +175,16 @@
 
         async def steps():
             hearer = self.fleet.hearers()[0]
-            told = await hearer.directory.tell(1, 0)
+            told = await hearer.directory.changes_after(1, 0)
             self.assertFalse(told.follows)
             asker = mock.Mock()
-            asker.ask_one = mock.AsyncMock(return_value=told)
+            asker.fetch_changes = mock.AsyncMock(return_value=told)
             log = events.EventLog('other')
-            other = hearing.Hearer('pz', fleets.CENTRE, asker, log, 900)
+            other = follower_client.FollowerClient(
+                'pz', fleets.CENTRE, asker, log, 900
+            )
             records = hearer.directory.listing.proxies.values()
-            self.assertIsNone(await other.hear(records, 1))
+            self.assertIsNone(await other.poll(records, 1))
             self.assertEqual('', other.source)
 
         self.play(steps)
@@ -192,12 +194,14 @@
 
         async def steps():
             asker = mock.Mock()
-            old = peers.Told(9, False, [], follows=True, age_ms=2000)
-            asker.ask_one = mock.AsyncMock(return_value=old)
+            old = peers.PeerAnswer(9, False, [], follows=True, age_ms=2000)
+            asker.fetch_changes = mock.AsyncMock(return_value=old)
             log = events.EventLog('other')
-            other = hearing.Hearer('pz', fleets.CENTRE, asker, log, 900)
+            other = follower_client.FollowerClient(
+                'pz', fleets.CENTRE, asker, log, 900
+            )
             records = self.fleet.proxies[0].directory.listing.proxies.values()
-            self.assertIsNone(await other.hear(records, 1))
+            self.assertIsNone(await other.poll(records, 1))
 
         self.play(steps)
 
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -195,11 +195,11 @@
         async def steps():
             exit_ = mock.patch.object(group_task.os, '_exit', autospec=True)
             with exit_ as exits:
-                for _ in range(group_task.MOST_RESTARTS):
+                for _ in range(group_task.MAX_RESTARTS):
                     await self.break_group()
                 exits.assert_not_called()
                 await self.break_group()
-                exits.assert_called_once_with(group_task.EXIT_BROKEN)
+                exits.assert_called_once_with(group_task.EXIT_BROKEN_INVARIANT)
 
         self.play(steps)
 
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -54,7 +54,7 @@
         self.pause_s = 0.0
         self.log = events.EventLog('owner')
 
-    async def serve_other(self, asked):
+    async def serve_for_peer(self, asked):
         """Answer at once, or never."""
         self.asked.append(asked)
         await asyncio.sleep(self.pause_s)
@@ -62,11 +62,11 @@
             await asyncio.Event().wait()
         return self.outcome
 
-    def withdraw_here(self, service, transaction):
+    def withdraw_locally(self, service, transaction):
         """Note a transaction that is undone."""
         self.withdrawn.append((service, transaction))
 
-    def waiting_here(self, service):
+    def queued_locally(self, service):
         """Tell of a line."""
         return 5
 
@@ -114,7 +114,7 @@
             mock.patch.object(hop.dialling, 'keep_alive', autospec=True),
         ):
             async with asyncio.timeout(2.0):
-                answer = await link.ask(
+                answer = await link.send_request(
                     request(), deadline_ms, forwarding.Load()
                 )
         self.assertIsInstance(answer, forwarding.LinkLost)
@@ -142,14 +142,16 @@
         """Ask the owner."""
         deadline_ms = clock.suspended_ms() + 500
         load = forwarding.Load()
-        return await self.link.ask(asked or request(), deadline_ms, load)
+        return await self.link.send_request(
+            asked or request(), deadline_ms, load
+        )
 
     def test_request_arrives_whole(self):
         """With the session's state, under a key and time of the owner's."""
 
         async def steps():
             sent = request()
-            self.assertEqual(self.owner.outcome, await self.ask(sent))
+            self.assertEqual(self.owner.outcome, await self.send_request(sent))
             (came,) = self.owner.asked
             self.assertEqual(sent.statement, came.statement)
             self.assertEqual(sent.values, came.values)
@@ -172,7 +174,7 @@
                 outcomes.Rejected(outcomes.Reason.NO_STATEMENT, 's9'),
             ):
                 self.owner.outcome = outcome
-                self.assertEqual(outcome, await self.ask())
+                self.assertEqual(outcome, await self.send_request())
 
         self.play(steps)
 
@@ -182,7 +184,7 @@
         async def steps():
             load = forwarding.Load()
             deadline_ms = clock.suspended_ms() + 500
-            await self.link.ask(request(), deadline_ms, load)
+            await self.link.send_request(request(), deadline_ms, load)
             self.assertEqual((5, 0), (load.waiting, load.in_flight))
 
         self.play(steps)
@@ -191,14 +193,14 @@
         """Two entries may have given theirs the same one."""
 
         async def steps():
-            await self.ask(request(transaction=9, begins=True))
-            await self.ask(request(transaction=9))
+            await self.send_request(request(transaction=9, begins=True))
+            await self.send_request(request(transaction=9))
             first, second = self.owner.asked
             self.assertNotEqual(9, first.transaction)
             self.assertEqual(first.transaction, second.transaction)
             self.assertTrue(self.server.is_busy())
             self.link.withdraw('s', 9)
-            await self.ask()
+            await self.send_request()
             withdrawn = [('s', first.transaction)]
             self.assertEqual(withdrawn, self.owner.withdrawn)
 
@@ -213,7 +215,7 @@
         """
 
         async def steps():
-            await self.ask(request(transaction=9, begins=True))
+            await self.send_request(request(transaction=9, begins=True))
             self.link.close()
             async with asyncio.timeout(2):
                 while not self.owner.withdrawn:
@@ -233,7 +235,7 @@
         async def steps():
             self.owner.pause_s = 0.1
             asked = request(transaction=9, begins=True)
-            asking = asyncio.create_task(self.ask(asked))
+            asking = asyncio.create_task(self.send_request(asked))
             while not self.owner.asked:
                 await asyncio.sleep(0.01)
             self.link.close()
@@ -256,10 +258,10 @@
         selector = CountingSelector()
 
         async def steps():
-            await self.ask()
-            await asyncio.sleep(2 * hop.WATCH_S)
+            await self.send_request()
+            await asyncio.sleep(2 * hop.WATCH_INTERVAL_S)
             before = selector.wakes
-            await asyncio.sleep(20 * hop.WATCH_S)
+            await asyncio.sleep(20 * hop.WATCH_INTERVAL_S)
             self.assertLess(selector.wakes - before, 4)
 
         loop = asyncio.SelectorEventLoop(selector)
@@ -271,12 +273,14 @@
 
         async def steps():
             self.owner.answers = False
-            asking = asyncio.create_task(self.ask())
+            asking = asyncio.create_task(self.send_request())
             while not self.owner.asked:
                 await asyncio.sleep(0.01)
             self.server.close()
             self.assertEqual(forwarding.LinkLost(True), await asking)
-            self.assertEqual(forwarding.LinkLost(False), await self.ask())
+            self.assertEqual(
+                forwarding.LinkLost(False), await self.send_request()
+            )
 
         self.play(steps)
 
@@ -289,10 +293,14 @@
 
         async def steps():
             began_ms = clock.suspended_ms()
-            with mock.patch.object(hop_server._Entry, 'take', lambda *_: None):
-                self.assertEqual(forwarding.LinkLost(True), await self.ask())
+            with mock.patch.object(
+                hop_server._PeerStream, 'handle_frame', lambda *_: None
+            ):
+                self.assertEqual(
+                    forwarding.LinkLost(True), await self.send_request()
+                )
             took_ms = clock.suspended_ms() - began_ms
-            self.assertGreaterEqual(took_ms, hop.SILENT_MS - 20)
+            self.assertGreaterEqual(took_ms, hop.SILENCE_TIMEOUT_MS - 20)
 
         self.play(steps)
 
@@ -301,8 +309,8 @@
 
         async def steps():
             self.owner.answers = False
-            asking = asyncio.create_task(self.ask())
-            await asyncio.sleep(hop.SILENT_MS * 2 / 1000)
+            asking = asyncio.create_task(self.send_request())
+            await asyncio.sleep(hop.SILENCE_TIMEOUT_MS * 2 / 1000)
             self.assertFalse(asking.done())
             asking.cancel()
 
@@ -318,7 +326,9 @@
 
         async def steps():
             self.owner.outcome = outcomes.NotRun('too_many_moons', 40)
-            self.assertEqual(forwarding.LinkLost(True), await self.ask())
+            self.assertEqual(
+                forwarding.LinkLost(True), await self.send_request()
+            )
 
         self.play(steps)
 
@@ -326,15 +336,15 @@
         """They end that stream, and no other."""
 
         async def steps():
-            await self.ask()
+            await self.send_request()
             target = self.link.address.split(':')
             _, writer = await asyncio.open_connection(*target)
             writer.write(b'\x00\x00\x00\x04nope')
             await writer.drain()
             await asyncio.sleep(0.05)
-            self.assertEqual(1, len(self.server.entries))
+            self.assertEqual(1, len(self.server.peer_streams))
             self.assertEqual(1, self.owner.log.lines)
-            self.assertEqual(self.owner.outcome, await self.ask())
+            self.assertEqual(self.owner.outcome, await self.send_request())
             writer.close()
 
         self.play(steps)
--- a/topazring/pooler/tests/test_membership.py
+++ b/topazring/pooler/tests/test_membership.py
@@ -53,10 +53,10 @@
     async def _enter(self, store: Store, known: int, read: bool) -> int:
         change = revisions.Change(KEY, known, 'old') if known else None
         directory = types.SimpleNamespace(
-            read=asyncio.Event(), own=lambda key: change
+            first_read=asyncio.Event(), own=lambda key: change
         )
         if read:
-            directory.read.set()
+            directory.first_read.set()
         value = directories.ProxyValue('cork')
         log = events.EventLog('p1')
         entering = membership.Membership('p1', value, store, directory, log)
--- a/topazring/pooler/tests/test_peers.py
+++ b/topazring/pooler/tests/test_peers.py
@@ -7,7 +7,7 @@
 import testtools
 
 from topazring.core import revisions
-from topazring.pooler import hearing
+from topazring.pooler import follower_client
 from topazring.pooler import peers
 
 # Of the slowest instances, and the hearers that one of two followers has
@@ -53,6 +53,6 @@
         behind that. Cause: telling it as it is kept.
         """
         change = revisions.Change('configuration', 9, self.configuration())
-        bits = len(peers.pack([change])) * 8 * HEARERS
-        part_s = IN_FORCE_S / hearing.PARTS
+        bits = len(peers.compress_changes([change])) * 8 * HEARERS
+        part_s = IN_FORCE_S / follower_client.DEADLINE_PARTS
         self.assertLess(bits / LINK_BITS_PER_S, part_s)
--- a/topazring/pooler/tests/test_duty.py
+++ b/topazring/pooler/tests/test_promotion_lease.py
@@ -7,7 +7,7 @@
 from topazring.core import revisions
 from topazring import key_value
 from topazring.plumbing import events
-from topazring.pooler import duty as duties
+from topazring.pooler import promotion_lease as duties
 
 TTL_S = duties.TTL_MS / 1000
 
@@ -57,7 +57,7 @@
         self.calls.append('get')
         if self.away:
             return key_value.Unavailable('away')
-        change = self.directory.own(key)
+        change = self.directory.own_value(key)
         if change is None:
             return key_value.Missing()
         return key_value.Found(change.value, change.revision)
@@ -66,7 +66,7 @@
         """Write if nobody else did."""
         self.calls.append('put')
         for value in values:
-            change = self.directory.own(value.key)
+            change = self.directory.own_value(value.key)
             if value.revision != (change.revision if change else 0):
                 return key_value.Conflict()
         for value in values:
@@ -83,7 +83,7 @@
     def __init__(self):
         self.known = revisions.Revisions(seen=1)
         self.own_changed = asyncio.Event()
-        self.away_since_ms = None
+        self.unavailable_since_ms = None
         self.follows = True
         # What peers tell when they are asked; None if none answers.
         self.peers_tell = {}
@@ -96,7 +96,7 @@
             self.set(key, value)
         return True
 
-    def own(self, key):
+    def own_value(self, key):
         """Return a value that is set."""
         change = self.known.changes.get(key)
         return change if change and change.value is not None else None
@@ -120,7 +120,7 @@
         self.directory = Directory()
         self.store = Store(self.directory)
         self.told = []
-        self.duty = duties.Duty(
+        self.promotion_lease = duties.PromotionLease(
             'p1-a',
             self.store,
             self.directory,
@@ -128,24 +128,24 @@
             lambda holds, token: self.told.append((holds, token)),
         )
         await steps()
-        await self.duty.close()
+        await self.promotion_lease.close()
 
     async def until(self, holds, within_s=2.0):
         """Wait until the duty is held, or is not."""
         async with asyncio.timeout(within_s):
-            while self.duty.holds is not holds:
+            while self.promotion_lease.holds is not holds:
                 await asyncio.sleep(0.01)
 
     def test_gains_and_keeps(self):
         """With a block of tokens above all earlier ones."""
 
         async def steps():
-            self.directory.set(duties.BLOCK_KEY, '70000')
-            self.duty.start()
+            self.directory.set(duties.TOKEN_BLOCK_KEY, '70000')
+            self.promotion_lease.start()
             await self.until(True)
             self.assertEqual([(True, 80_000)], self.told)
             await asyncio.sleep(TTL_S + 0.5)
-            self.assertTrue(self.duty.holds)
+            self.assertTrue(self.promotion_lease.holds)
 
         self.play(steps)
 
@@ -159,17 +159,17 @@
         """
 
         async def steps():
-            self.duty._is_free = lambda: True
-            self.directory.set(duties.DUTY_KEY, '{"holder":"x","token":1}')
-            await self.duty._try()
-            self.assertFalse(self.duty.holds)
+            self.promotion_lease._is_free = lambda: True
+            self.directory.set(duties.LEASE_KEY, '{"holder":"x","token":1}')
+            await self.promotion_lease._try()
+            self.assertFalse(self.promotion_lease.holds)
             await asyncio.sleep(TTL_S - 0.6)
-            self.directory.set(duties.DUTY_KEY, None)
-            self.directory.known.changes.pop(duties.DUTY_KEY)
-            await self.duty._try()
-            self.duty.start()
+            self.directory.set(duties.LEASE_KEY, None)
+            self.directory.known.changes.pop(duties.LEASE_KEY)
+            await self.promotion_lease._try()
+            self.promotion_lease.start()
             await asyncio.sleep(1.5)
-            self.assertTrue(self.duty.holds)
+            self.assertTrue(self.promotion_lease.holds)
 
         self.play(steps)
 
@@ -178,7 +178,7 @@
 
         async def steps():
             self.store.loses_answer = True
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
 
         self.play(steps)
@@ -191,9 +191,9 @@
 
         async def steps():
             self.directory.follows = False
-            self.duty.jitter_s = duties.JITTER_S
-            self.duty.start()
-            await asyncio.sleep(duties.HEARER_PAUSE_S * 0.8)
+            self.promotion_lease.jitter_s = duties.JITTER_S
+            self.promotion_lease.start()
+            await asyncio.sleep(duties.NON_FOLLOWER_DELAY_S * 0.8)
             self.assertEqual([], self.store.calls)
             await self.until(True)
 
@@ -203,8 +203,8 @@
         """Nothing is tried while it is held."""
 
         async def steps():
-            self.directory.set(duties.DUTY_KEY, '{"holder":"x","token":1}')
-            self.duty.start()
+            self.directory.set(duties.LEASE_KEY, '{"holder":"x","token":1}')
+            self.promotion_lease.start()
             await asyncio.sleep(0.8)
             self.assertEqual([], self.store.calls)
 
@@ -214,11 +214,11 @@
         """Nobody else can take it then."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
             self.store.away = True
             await asyncio.sleep(TTL_S + 0.5)
-            self.assertTrue(self.duty.holds)
+            self.assertTrue(self.promotion_lease.holds)
 
         self.play(steps)
 
@@ -234,12 +234,12 @@
         """
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
             self.store.away = True
             taken = '{"holder":"p2-a","token":20000}'
-            self.directory.set(duties.DUTY_KEY, taken)
-            await self.until(False, within_s=duties.RENEW_S + 0.5)
+            self.directory.set(duties.LEASE_KEY, taken)
+            await self.until(False, within_s=duties.RENEW_INTERVAL_S + 0.5)
             self.assertEqual((False, 0), self.told[-1])
 
         self.play(steps)
@@ -248,13 +248,13 @@
         """It asks whether the duty is still its own."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
-            self.duty.doubt()
+            self.promotion_lease.request_recheck()
             await asyncio.sleep(0.2)
             self.assertEqual([True, True], [holds for holds, _ in self.told])
-            self.directory.set(duties.DUTY_KEY, '{"holder":"x","token":1}')
-            self.duty.doubt()
+            self.directory.set(duties.LEASE_KEY, '{"holder":"x","token":1}')
+            self.promotion_lease.request_recheck()
             await self.until(False)
 
         self.play(steps)
@@ -269,12 +269,12 @@
         """
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
-            self.assertTrue(await self.duty.may_order())
-            self.directory.set(duties.DUTY_KEY, '{"holder":"x","token":1}')
-            self.assertFalse(await self.duty.may_order())
-            self.assertFalse(self.duty.holds)
+            self.assertTrue(await self.promotion_lease.verify_holder())
+            self.directory.set(duties.LEASE_KEY, '{"holder":"x","token":1}')
+            self.assertFalse(await self.promotion_lease.verify_holder())
+            self.assertFalse(self.promotion_lease.holds)
 
         self.play(steps)
 
@@ -282,12 +282,12 @@
         """Peers know of nobody else, so the holder goes on."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
             self.store.away = True
-            self.assertTrue(await self.duty.may_order())
-            self.directory.away_since_ms = 1
-            self.assertTrue(await self.duty.may_order())
+            self.assertTrue(await self.promotion_lease.verify_holder())
+            self.directory.unavailable_since_ms = 1
+            self.assertTrue(await self.promotion_lease.verify_holder())
 
         self.play(steps)
 
@@ -295,13 +295,13 @@
         """A peer that reads there knows who has the duty now."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
             self.store.away = True
             taken = '{"holder":"p2-a","token":20000}'
-            self.directory.peers_tell = {duties.DUTY_KEY: taken}
-            self.assertFalse(await self.duty.may_order())
-            self.assertFalse(self.duty.holds)
+            self.directory.peers_tell = {duties.LEASE_KEY: taken}
+            self.assertFalse(await self.promotion_lease.verify_holder())
+            self.assertFalse(self.promotion_lease.holds)
 
         self.play(steps)
 
@@ -309,11 +309,11 @@
         """Neither the store nor any peer can say that it still holds it."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
             self.store.away = True
             self.directory.peers_tell = None
-            self.assertFalse(await self.duty.may_order())
+            self.assertFalse(await self.promotion_lease.verify_holder())
 
         self.play(steps)
 
@@ -325,12 +325,12 @@
         """
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
-            self.directory.set(duties.DUTY_KEY, '{"holder": 7}')
-            await asyncio.sleep(duties.RENEW_S + 0.2)
-            self.assertTrue(self.duty.holds)
-            self.assertFalse(self.duty.task.done())
+            self.directory.set(duties.LEASE_KEY, '{"holder": 7}')
+            await asyncio.sleep(duties.RENEW_INTERVAL_S + 0.2)
+            self.assertTrue(self.promotion_lease.holds)
+            self.assertFalse(self.promotion_lease.task.done())
 
         self.play(steps)
 
@@ -338,12 +338,12 @@
         """Others have it for a while."""
 
         async def steps():
-            self.duty.start()
+            self.promotion_lease.start()
             await self.until(True)
-            self.duty.yield_to_another('no replica can be reached')
-            self.directory.known.changes.pop(duties.DUTY_KEY)
+            self.promotion_lease.yield_lease('no replica can be reached')
+            self.directory.known.changes.pop(duties.LEASE_KEY)
             await asyncio.sleep(0.8)
-            self.assertFalse(self.duty.holds)
+            self.assertFalse(self.promotion_lease.holds)
             self.assertIn('end', self.store.calls)
 
         self.play(steps)
