--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -103,7 +103,7 @@
 
     def test_cut_off_primary_goes_on(self):
         """It leads beside its successor until it reaches that."""
-        self.play(self.continues_transaction)
+        self.play(self.goes_on)
 
     async def goes_on(self):
         old, new, third = self.group.members
@@ -115,7 +115,7 @@
         self.assertEqual(['primary'] * 2, [old.role, new.role])
         caller = await self.connect(0)
         self.assertTrue(await self.hangs(caller, 'WRITE k v'))
-        newcomer = self.group.come(ports.free())
+        newcomer = self.group.add_replica(ports.free())
         self.group.cut_pairs.add(frozenset((new.name, newcomer.name)))
         said = await caller.answer()
         self.assertTrue(said[0].startswith('DONE'), said)
