--- a/topazring/core/observations.py
+++ b/topazring/core/observations.py
@@ -11,29 +11,29 @@
 from topazring.core import view as views
 
 __all__ = [
-    'grants_seen',
-    'leaving_seen',
-    'link_opened',
-    'owners_seen',
-    'peer_suspects',
-    'probe_failed',
-    'status_seen',
-    'take_status',
+    'handle_grants',
+    'handle_leaving',
+    'handle_link_opened',
+    'handle_owners',
+    'handle_peer_suspicion',
+    'handle_probe_failed',
+    'handle_status',
+    'update_view',
 ]
 
 Out = list
 
 
-def take_status(
+def update_view(
     state: states.OwnerState, now_ms: int, status: messages.Status
 ) -> Out:
     """Take in a status and what a new term or primary entails."""
-    changed = views.observe(state.view, now_ms, status)
+    changed = views.apply_status(state.view, now_ms, status)
     if status.upstream == state.view.primary and status.leads:
         suspicion.note_alive(state.evidence, now_ms)
     if not changed:
         return []
-    suspicion.forget(state.evidence, now_ms)
+    suspicion.reset(state.evidence, now_ms)
     outs = _turn_term(state, now_ms)
     if state.view.primary:
         state.handing_over_since_ms = None
@@ -50,7 +50,7 @@
     """Leave the old term: what waited for it has an open fate now."""
     if state.round_state.term == state.view.term:
         return []
-    waiters = rounds.take_all(state.round_state)
+    waiters = rounds.remove_all_waiters(state.round_state)
     state.round_state.term = state.view.term
     outs: Out = []
     for waiter in waiters:
@@ -64,18 +64,18 @@
     return outs
 
 
-def status_seen(
+def handle_status(
     state: states.OwnerState, now_ms: int, message: messages.StatusReceived
 ) -> Out:
     """Take in the reply to a heartbeat or to a round."""
     status = message.status
-    outs = take_status(state, now_ms, status)
+    outs = update_view(state, now_ms, status)
     if message.round_id:
         needed = views.majority(state.view)
         for waiter in rounds.note_status(
             state.round_state, message.round_id, status, needed
         ):
-            outs += results.confirmed(state, now_ms, waiter)
+            outs += results.complete_confirmed(state, now_ms, waiter)
         return outs
     _sample(state, message)
     return outs
@@ -100,7 +100,7 @@
     )
 
 
-def link_opened(
+def handle_link_opened(
     state: states.OwnerState, now_ms: int, message: messages.LinkOpened
 ) -> Out:
     """Have rounds that were asked without a connection asked again.
@@ -108,21 +108,21 @@
     Otherwise they count as under way for two seconds, which is longer than
     a read has: it would end unknown although all its upstreams answer.
     """
-    rounds.forget_asks(state.round_state, message.upstream)
+    rounds.forget_requests(state.round_state, message.upstream)
     return []
 
 
-def probe_failed(
+def handle_probe_failed(
     state: states.OwnerState, now_ms: int, message: messages.ProbeFailed
 ) -> Out:
     """Take in that an upstream did not answer."""
-    rounds.forget_asks(state.round_state, message.upstream)
+    rounds.forget_requests(state.round_state, message.upstream)
     if message.upstream == state.view.primary:
         suspicion.note_failure(state.evidence, now_ms, message.kind)
     return []
 
 
-def peer_suspects(
+def handle_peer_suspicion(
     state: states.OwnerState, now_ms: int, message: messages.PeerSuspicion
 ) -> Out:
     """Take in what another owner thinks of the primary."""
@@ -130,7 +130,7 @@
         return []
     if message.term > max(state.view.term, state.peer_term):
         state.peer_term = message.term
-        state.peer_term_ms = now_ms
+        state.peer_term_since_ms = now_ms
     if message.suspects:
         state.peer_suspects[message.owner] = (message.term, now_ms)
     else:
@@ -138,7 +138,7 @@
     return []
 
 
-def owners_seen(
+def handle_owners(
     state: states.OwnerState, now_ms: int, message: messages.OwnersChanged
 ) -> Out:
     """Take in who the live owners are."""
@@ -146,7 +146,7 @@
     return []
 
 
-def grants_seen(
+def handle_grants(
     state: states.OwnerState, now_ms: int, message: messages.GrantsReceived
 ) -> Out:
     """Take in the terms that are this owner's alone."""
@@ -157,11 +157,11 @@
     return []
 
 
-def leaving_seen(
+def handle_leaving(
     state: states.OwnerState,
     now_ms: int,
     message: messages.UpstreamsLeaving,
 ) -> Out:
     """Take in which upstreams are leaving."""
-    state.leaving = message.names
+    state.leaving_upstreams = message.names
     return []
--- a/topazring/core/tests/simulation.py
+++ b/topazring/core/tests/simulation.py
@@ -44,16 +44,16 @@
     arrived: bool = False
 
 
-class World:
+class Simulation:
     """Hold all parts; every method is one thing that can happen."""
 
     def __init__(self, seed: int = 0):
         self.now = 10_000
         self.rng = random.Random(seed)
-        self.mail: list[Mail] = []
+        self.in_transit: list[Mail] = []
         self.logs = {name: logs.Log(name) for name in UPSTREAMS}
         self.heard = dict.fromkeys(UPSTREAMS, self.now)
-        self.silence_lie = False
+        self.reports_false_silence = False
         self.paused: set[str] = set()
         self.owners = {name: self._make_owner(name) for name in OWNERS}
         self.incarnations = dict.fromkeys(OWNERS, 0)
@@ -96,7 +96,7 @@
         self.paused.discard(name)
         self.post(name, messages.Tick(self.rng.choice((0, 400))))
 
-    def see_owners(self, name: str, count: int) -> None:
+    def change_owners(self, name: str, count: int) -> None:
         """Have an owner's list of the owners differ from the others'."""
         order = self.rng.sample(OWNERS, len(OWNERS))
         self.post(name, messages.OwnersChanged(tuple(order[:count])))
@@ -117,20 +117,20 @@
 
     def deliver(self, index: int) -> None:
         """Deliver one message, in any order."""
-        if self.mail:
-            mail = self.mail.pop(index % len(self.mail))
+        if self.in_transit:
+            mail = self.in_transit.pop(index % len(self.in_transit))
             mail.deliver()
 
     def lose(self, index: int, late: bool) -> None:
         """Lose one message; or say so while it is still under way."""
-        if not self.mail:
+        if not self.in_transit:
             return
-        index %= len(self.mail)
-        mail = self.mail[index]
+        index %= len(self.in_transit)
+        mail = self.in_transit[index]
         if mail.arrived:
             return
         if not late:
-            self.mail.pop(index)
+            self.in_transit.pop(index)
         if mail.lost is not None:
             lost, mail.lost = mail.lost, None
             lost()
@@ -149,9 +149,9 @@
             logs.extend(self.logs[target], term, log_positions.ORIGIN, entries)
             self._wake_parked()
 
-        self.mail.append(Mail(arrive))
+        self.in_transit.append(Mail(arrive))
 
-    def suspect(self, name: str, kind: str) -> None:
+    def fail_probe(self, name: str, kind: str) -> None:
         """Have a probe of the primary fail, truly or not."""
         primary = self.owners[name].view.primary
         if primary:
@@ -249,7 +249,7 @@
         """Give an owner a message and do what it says."""
         if name in self.paused and not isinstance(message, messages.Tick):
             mail = Mail(self._poster(name, message), arrived=True)
-            self.mail.append(mail)
+            self.in_transit.append(mail)
             return
         state = self.owners[name]
         for out in owner.step(state, self.now, message):
@@ -270,10 +270,10 @@
             case messages.RequestStatus():
                 mail = Mail(lambda: self._ask(name, out))
                 mail.lost = self._loser(name, out.upstream)
-                self.mail.append(mail)
+                self.in_transit.append(mail)
             case messages.Fence() | messages.Lead():
                 claimant = f'{name}{self.incarnations[name]}'
-                self.mail.append(
+                self.in_transit.append(
                     Mail(lambda: self._promote(name, claimant, out))
                 )
             case messages.CloseTransaction():
@@ -285,7 +285,7 @@
                         word = messages.PeerSuspicion(
                             name, out.term, out.suspects
                         )
-                        self.mail.append(Mail(self._poster(peer, word)))
+                        self.in_transit.append(Mail(self._poster(peer, word)))
             case messages.RequestGrants():
                 self._grant(name, out.above_term)
 
@@ -310,7 +310,7 @@
         if self.store == 'lossy' and self.rng.random() < 0.5:
             return
         terms = grants.terms_of(self.record, claimant)
-        self.mail.append(
+        self.in_transit.append(
             Mail(self._poster(name, messages.GrantsReceived(terms)))
         )
 
@@ -344,14 +344,14 @@
             if out.kind is Kind.BEGIN and key not in self.running:
                 return
             result = self._run(name, incarnation, out)
-            self.mail.append(Mail(lambda: finish(result), lost))
+            self.in_transit.append(Mail(lambda: finish(result), lost))
 
-        self.mail.append(Mail(arrive, lost))
+        self.in_transit.append(Mail(arrive, lost))
 
     def _status(self, name: str) -> messages.Status:
         log = self.logs[name]
         silent_ms = self.now - self.heard[name]
-        if self.silence_lie:
+        if self.reports_false_silence:
             silent_ms = 10_000
         return messages.Status(
             name,
@@ -447,7 +447,7 @@
             )
             mail = Mail(self._poster(name, seen))
             mail.lost = self._loser(name, out.upstream)
-            self.mail.append(mail)
+            self.in_transit.append(mail)
 
         return reply
 
@@ -477,31 +477,33 @@
             accepted = logs.lead(log, out.term, claimant)
             make = messages.LeadReply
             if accepted:
-                self.oracle.note_lead(out.term, out.upstream)
+                self.oracle.record_leader(out.term, out.upstream)
         reply = make(out.term, accepted, self._status(out.upstream))
-        self.mail.append(Mail(self._poster(name, reply)))
+        self.in_transit.append(Mail(self._poster(name, reply)))
         self._wake_parked()
 
-    def calm(self, rounds: int) -> None:
+    def run_without_faults(self, rounds: int) -> None:
         """Let everything work as it should for a while."""
         for _ in range(rounds):
-            for _ in range(len(self.mail)):
+            for _ in range(len(self.in_transit)):
                 self.deliver(0)
             for source in UPSTREAMS:
                 for target in UPSTREAMS:
                     self.replicate(source, target)
             self.advance(25)
 
-    def settle_down(self) -> None:
+    def heal_and_check(self) -> None:
         """Heal everything; then every request has to have its answer."""
-        self.silence_lie = False
+        self.reports_false_silence = False
         self.store = 'up'
         for name in list(self.paused):
             self.pause(name)
         for name in OWNERS:
             self.post(name, messages.OwnersChanged(OWNERS))
-        self.calm(400)
-        unanswered = [a for a in self.oracle.asked.values() if not a.answered]
+        self.run_without_faults(400)
+        unanswered = [
+            a for a in self.oracle.submissions.values() if not a.answered
+        ]
         if unanswered:
             raise oracles.Violation(f'never answered: {unanswered}')
         for key in self.opened.keys() - self.closed:
