--- a/topazring/platform/__init__.py
+++ b/topazring/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the product and the users' platform; decide nothing."""
+"""Adapt the pooling proxy to the users' platform: codecs and clients only."""
--- a/topazring/platform/caller_codec.py
+++ b/topazring/platform/caller_codec.py
@@ -1,4 +1,4 @@
-"""Read callers' lines as statements, and write their answers."""
+"""Parse the lines that callers send and encode the answers to them."""
 
 import collections.abc
 
@@ -18,7 +18,8 @@
     SessionState.IN_TRANSACTION: 'T',
     SessionState.FAILED: 'E',
 }
-# Nothing of the request is kept; `BUSY` says the same of all others.
+# The request had no lasting effect. Reasons not listed are sent as `BUSY`,
+# which means the same.
 _NOT_RUN = {
     Reason.TRANSACTION_LOST: 'ABORTED',
     Reason.CONNECTION_LOST: 'ABORTED',
@@ -40,28 +41,28 @@
 }
 
 Parser = collections.abc.Callable[[str, str, str], statements.Statement]
-_verbs: dict[str, Parser] = {}
+_parsers: dict[str, Parser] = {}
 
 
-def _verb(word: str) -> collections.abc.Callable[[Parser], Parser]:
-    """Register the parser of one verb: id, whole text, what follows it."""
+def _parses(verb: str) -> collections.abc.Callable[[Parser], Parser]:
+    """Register a verb's parser of request id, whole text and arguments."""
 
     def register(parser: Parser) -> Parser:
-        _verbs[word] = parser
+        _parsers[verb] = parser
         return parser
 
     return register
 
 
-def _fields(rest: str, most: int, least: int) -> list[str]:
-    """Split into fields; the last goes to the end of the line."""
-    found = rest.split(' ', most - 1) if rest else []
-    if len(found) < least or not all(found):
+def _split_fields(rest: str, max_fields: int, min_fields: int) -> list[str]:
+    """Return the fields; the last one extends to the end of the line."""
+    fields = rest.split(' ', max_fields - 1) if rest else []
+    if len(fields) < min_fields or not all(fields):
         raise line_protocol.LineError('a field is missing')
-    return found
+    return fields
 
 
-@_verb('BEGIN')
+@_parses('BEGIN')
 def _begin(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest not in ('', 'READ'):
         raise line_protocol.LineError('BEGIN takes READ or nothing')
@@ -70,43 +71,43 @@
     )
 
 
-@_verb('COMMIT')
+@_parses('COMMIT')
 def _commit(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest:
         raise line_protocol.LineError('COMMIT takes nothing')
     return statements.Statement(request_id, Verb.COMMIT, text)
 
 
-@_verb('ROLLBACK')
+@_parses('ROLLBACK')
 def _rollback(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest:
         raise line_protocol.LineError('ROLLBACK takes nothing')
     return statements.Statement(request_id, Verb.ROLLBACK, text)
 
 
-@_verb('READ')
+@_parses('READ')
 def _read(request_id: str, text: str, rest: str) -> statements.Statement:
-    _fields(rest, 1, 1)
+    _split_fields(rest, 1, 1)
     return statements.Statement(request_id, Verb.READ, text)
 
 
-@_verb('WRITE')
+@_parses('WRITE')
 def _write(request_id: str, text: str, rest: str) -> statements.Statement:
-    _fields(rest, 2, 2)
+    _split_fields(rest, 2, 2)
     return statements.Statement(request_id, Verb.WRITE, text)
 
 
-@_verb('SET')
+@_parses('SET')
 def _set(request_id: str, text: str, rest: str) -> statements.Statement:
-    name, value = _fields(rest, 2, 2)
+    name, value = _split_fields(rest, 2, 2)
     return statements.Statement(
         request_id, Verb.SET, text, name=name, value=value
     )
 
 
-@_verb('PREPARE')
+@_parses('PREPARE')
 def _prepare(request_id: str, text: str, rest: str) -> statements.Statement:
-    name, access, shape = _fields(rest, 3, 3)
+    name, access, shape = _split_fields(rest, 3, 3)
     if access not in ('READ', 'WRITE'):
         raise line_protocol.LineError('PREPARE takes READ or WRITE')
     return statements.Statement(
@@ -119,44 +120,44 @@
     )
 
 
-@_verb('EXECUTE')
+@_parses('EXECUTE')
 def _execute(request_id: str, text: str, rest: str) -> statements.Statement:
-    name, arguments = _fields(rest, 2, 2)
+    name, arguments = _split_fields(rest, 2, 2)
     return statements.Statement(
         request_id, Verb.EXECUTE, text, name=name, arguments=arguments
     )
 
 
-@_verb('DEALLOC')
+@_parses('DEALLOC')
 def _dealloc(request_id: str, text: str, rest: str) -> statements.Statement:
-    (name,) = _fields(rest, 1, 1)
+    (name,) = _split_fields(rest, 1, 1)
     return statements.Statement(request_id, Verb.DEALLOCATE, text, name=name)
 
 
 def parse_statement(request_id: str, text: str) -> statements.Statement:
-    """Return a statement; raise BadLine on what is none."""
+    """Return the parsed statement; raise LineError if it is invalid."""
     word, _, rest = text.partition(' ')
-    parser = _verbs.get(word)
+    parser = _parsers.get(word)
     if parser is None:
         raise line_protocol.LineError('no such statement')
     return parser(request_id, text, rest)
 
 
 class _Reader:
-    """Read what one caller sends."""
+    """Parse the messages of one caller."""
 
     def __init__(self, message_bytes: int):
         self.splitter = line_protocol.LineSplitter(message_bytes)
 
     def feed(self, data: bytes) -> list[ports.CallerItem]:
-        """Return the messages that are complete now."""
-        items = [self._read(line) for line in self.splitter.feed(data)]
+        """Return the messages completed by this data."""
+        items = [self._read_message(line) for line in self.splitter.feed(data)]
         if self.splitter.exceeds_limit():
             detail = 'the message is too long'
             items.append(ports.Fault(Reason.TOO_LARGE, detail, fatal=True))
         return items
 
-    def _read(self, line: bytes) -> ports.CallerItem:
+    def _read_message(self, line: bytes) -> ports.CallerItem:
         if len(line) > self.splitter.max_line_bytes:
             detail = 'the message is too long'
             return ports.Fault(Reason.TOO_LARGE, detail, fatal=True)
@@ -164,20 +165,21 @@
             word, rest = line_protocol.parse_line(
                 line, self.splitter.max_line_bytes
             )
-            return _item(word, rest)
+            return _parse_message(word, rest)
         except line_protocol.LineError as error:
             return ports.Fault(Reason.BAD_STATEMENT, str(error))
 
 
-def _item(word: str, rest: str) -> ports.CallerItem:
+def _parse_message(word: str, rest: str) -> ports.CallerItem:
     if word == 'QUERY':
         request_id, _, text = rest.partition(' ')
         if not request_id or not text or request_id == '-':
             raise line_protocol.LineError('QUERY takes an id and a text')
         return parse_statement(request_id, text)
     if word == 'START':
-        # Who connects is not used: a session is the connection.
-        database = _fields(rest, 2, 1)[0]
+        # The client name, the second field, is unused: a session is
+        # identified by its connection.
+        database = _split_fields(rest, 2, 1)[0]
         return ports.StartSession(database)
     if word == 'QUIT' and not rest:
         return ports.Quit()
@@ -185,25 +187,25 @@
 
 
 class CallerCodec:
-    """Speak with callers."""
+    """Encode and decode the line protocol of callers."""
 
     def reader(self, message_bytes: int) -> _Reader:
-        """Return a reader; longer messages are faults."""
+        """Return a reader that reports messages over `message_bytes`."""
         return _Reader(message_bytes)
 
     def greeting(self) -> bytes:
-        """Return the answer to a session's start."""
+        """Return the answer to an accepted session start."""
         return line_protocol.format_line('READY', 'I', '-')
 
     def refusal(self, outcome: outcomes.Outcome) -> bytes:
-        """Return the answer to a session that is refused."""
-        return _error(outcome)
+        """Return the answer to a refused session start."""
+        return _encode_error(outcome)
 
     def answer(self, outcome: outcomes.Outcome, state: SessionState) -> bytes:
-        """Return the answer to a statement and the session's state."""
+        """Return the answer to a statement, ending with the session state."""
         ready = line_protocol.format_line('READY', _STATES[state], '-')
         if not isinstance(outcome, outcomes.Done):
-            return _error(outcome) + ready
+            return _encode_error(outcome) + ready
         rows = b''.join(
             line_protocol.format_line('ROW', row) for row in outcome.rows
         )
@@ -211,7 +213,7 @@
         return rows + done + ready
 
 
-def _error(outcome: outcomes.Outcome) -> bytes:
+def _encode_error(outcome: outcomes.Outcome) -> bytes:
     match outcome:
         case outcomes.NotRun():
             code = _NOT_RUN.get(outcome.reason, 'BUSY')
--- a/topazring/platform/line_protocol.py
+++ b/topazring/platform/line_protocol.py
@@ -1,9 +1,9 @@
-"""Split and write the lines that callers and upstreams speak.
+"""Split, parse and format the lines exchanged with callers and upstreams.
 
-A line is a word and fields between blanks, ended by CR LF; the last field
-goes to the end of the line. A bare CR or LF inside one could be read as the
-end of a line further on, and what follows as a statement of its own, so
-such a line is refused.
+A line is a word and fields separated by single spaces, terminated by CR LF;
+the last field extends to the end of the line. Lines that contain a bare CR
+or LF are rejected: a receiver that splits lines differently would run the
+remainder as a separate statement (statement injection).
 """
 
 __all__ = [
@@ -19,20 +19,20 @@
 
 
 class LineError(ValueError):
-    """Say what is wrong with a line."""
+    """Describe why a line is invalid."""
 
 
 class LineSplitter:
-    """Cut bytes that come in any pieces into lines."""
+    """Split a byte stream, received in arbitrary chunks, into lines."""
 
-    def __init__(self, most_bytes: int = MAX_LINE_BYTES):
-        self.max_line_bytes = most_bytes
+    def __init__(self, max_line_bytes: int = MAX_LINE_BYTES):
+        self.max_line_bytes = max_line_bytes
         self.buffer = bytearray()
-        # Where the end was looked for already.
+        # Offset up to which the buffer holds no line end.
         self.searched = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now."""
+        """Return the lines completed by this data."""
         self.buffer += data
         lines = []
         while True:
@@ -45,15 +45,15 @@
             self.searched = 0
 
     def exceeds_limit(self) -> bool:
-        """Say whether the line that is under way is too long already."""
+        """Return whether the incomplete line is too long already."""
         return len(self.buffer) > self.max_line_bytes
 
 
 def parse_line(
-    line: bytes, most_bytes: int = MAX_LINE_BYTES
+    line: bytes, max_line_bytes: int = MAX_LINE_BYTES
 ) -> tuple[str, str]:
-    """Return the word and the rest; raise BadLine if it is no line."""
-    if len(line) > most_bytes:
+    """Return the first word and the rest; raise LineError if invalid."""
+    if len(line) > max_line_bytes:
         raise LineError('the message is too long')
     if b'\r' in line or b'\n' in line or b'\0' in line:
         raise LineError('a control character inside a line')
@@ -66,5 +66,5 @@
 
 
 def format_line(*fields: str) -> bytes:
-    """Return a line of these fields; only the last may hold blanks."""
+    """Return an encoded line; only the last field may contain spaces."""
     return ' '.join(fields).encode() + _END
--- a/topazring/platform/main.py
+++ b/topazring/platform/main.py
@@ -21,7 +21,7 @@
 
 
 def make_adapter(config: settings.PoolerSettings) -> ports.Adapter:
-    """Return all that speaks to the platform."""
+    """Return the adapter with the platform's codecs and clients."""
     return ports.Adapter(
         caller_codec.CallerCodec(),
         upstream_codec.UpstreamCodec(),
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Read the settings that the platform wrote, and serve."""
+    """Read the settings file written by the platform and run the proxy."""
     path = os.environ.get(SETTINGS_VARIABLE, '')
     try:
         config = settings.read(path)
--- a/topazring/platform/orders.py
+++ b/topazring/platform/orders.py
@@ -1,19 +1,19 @@
-"""Give the platform the order to promote an upstream."""
+"""Send promotion orders to the platform."""
 
 from topazring.core.synchronous import messages
 from topazring.plumbing import http_calls
 
 __all__ = ['OrdersClient']
 
-# An order is answered in milliseconds; one that is not may still be carried
-# out later.
+# Orders are normally answered within milliseconds. An order that times out
+# may still be carried out later.
 ORDER_TIMEOUT_S = 0.2
-_HOLDER = 'X-Topazring-Lease-Holder'
-_TOKEN = 'X-Topazring-Fencing-Token'
+_HOLDER_HEADER = 'X-Topazring-Lease-Holder'
+_TOKEN_HEADER = 'X-Topazring-Fencing-Token'
 
 
 class OrdersClient:
-    """Own the connections for orders."""
+    """Send orders over HTTP connections of its own."""
 
     def __init__(self, address: str):
         self.base = f'http://{address}'
@@ -26,13 +26,13 @@
     async def promote(
         self, service: str, upstream: str, holder: str, token: int
     ) -> messages.OrderResult:
-        """Have an upstream promoted."""
+        """Order the promotion of an upstream; return the platform's answer."""
         reply = await http_calls.call(
             self.client,
             'POST',
             f'{self.base}/promote',
             {'service': service, 'id': upstream},
-            {_HOLDER: holder, _TOKEN: str(token)},
+            {_HOLDER_HEADER: holder, _TOKEN_HEADER: str(token)},
             ORDER_TIMEOUT_S,
         )
         if isinstance(reply, http_calls.NoResponse):
--- a/topazring/platform/records.py
+++ b/topazring/platform/records.py
@@ -1,7 +1,7 @@
-"""Decode what the operator and the upstreams write to the store.
+"""Decode the entries that the operator and the upstreams write to the store.
 
-Wire names appear in the structures below and nowhere else; unknown fields
-are ignored.
+The structures below are the only place where wire names appear. Unknown
+fields are ignored.
 """
 
 import typing
@@ -30,10 +30,10 @@
 
 
 class _Route(_Entry):
-    # Callers name the database by it.
+    # The database name that callers connect with.
     host: str
     service: str
-    # What a read has to see; called a type on the wire.
+    # Freshness required of reads; named `type` on the wire.
     type: str
     timeout_ms: int = 1000
     latency_goal_ms: int = 250
@@ -43,7 +43,7 @@
 
 class _Service(_Entry):
     name: str
-    # From all proxies together, to each of its upstreams.
+    # Connections to each upstream of the service, over all proxies.
     max_conns: int = 20
 
 
@@ -63,9 +63,10 @@
     address: str
     zone: str = ''
     state: typing.Literal['ready', 'draining'] = 'ready'
-    # How it sees itself.
+    # Role that the upstream reports for itself.
     db_role: typing.Literal['primary', 'replica'] = 'replica'
-    # When its process began, in Unix milliseconds; its name stays the same.
+    # Start of its process in Unix milliseconds. A recreated upstream keeps
+    # its name, so this tells the two apart.
     born: int = 0
 
 
@@ -74,20 +75,21 @@
 
 
 def decode(key: str, value: str, revision: int) -> listing.Record | None:
-    """Return an entry, None if it is none of ours.
+    """Return the decoded entry, or None for a key of another kind.
 
-    Raises ValueError on an entry of another form: others write there too,
-    and what is not wholly understood names nobody.
+    Raises ValueError on a malformed entry: other programs write to the store
+    too, so an entry that cannot be decoded completely must not be used as an
+    upstream.
     """
     if key == CONFIGURATION_KEY:
-        return _configuration(_decode_configuration(value))
+        return _to_configuration(_decode_configuration(value))
     if key.startswith(UPSTREAM_PREFIX):
         name = key.removeprefix(UPSTREAM_PREFIX)
-        return _upstream(name, _decode_upstream(value), revision)
+        return _to_upstream(name, _decode_upstream(value), revision)
     return None
 
 
-def _configuration(raw: _Configuration) -> listing.Configuration:
+def _to_configuration(raw: _Configuration) -> listing.Configuration:
     return listing.Configuration(
         raw.version,
         {
@@ -109,11 +111,11 @@
     )
 
 
-def _upstream(
+def _to_upstream(
     name: str, raw: _Upstream, revision: int
 ) -> listing.UpstreamRecord:
     if not settings.endpoint(raw.address).host:
-        raise ValueError('the address names no host')
+        raise ValueError('the address has no host')
     role = statements.Role.REPLICA
     if raw.db_role == 'primary':
         role = statements.Role.PRIMARY
--- a/topazring/platform/store.py
+++ b/topazring/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's store over HTTP."""
+"""Access the platform's key-value store over HTTP."""
 
 import base64
 import collections
@@ -13,20 +13,20 @@
 
 __all__ = ['StoreClient']
 
-# A watch may answer somewhat later than it was asked to.
+# A watch may be answered somewhat later than its requested wait time.
 WATCH_SLACK_S = 0.6
 MAX_PAGES = 200
-# A renewal is answered in milliseconds. After a longer wait the next one is
-# due, which may still come in time where this one was swallowed.
+# A renewal is normally answered within milliseconds. Giving up early leaves
+# time for the next renewal if the store never answers this one.
 RENEWAL_TIMEOUT_S = 0.5
 
 
 class _Item(msgspec.Struct):
-    """Hold one item, or with `deleted` its end."""
+    """Hold one item, or its deletion if `deleted` is set."""
 
     key: str
     revision: int
-    # Base64.
+    # Encoded as Base64.
     value: str | None = None
     deleted: bool = False
 
@@ -34,7 +34,7 @@
 class _Page(msgspec.Struct, rename='kebab'):
     items: list[_Item] = []
     has_more: bool = False
-    # The store's own revision, from which a watch goes on.
+    # Revision of the whole store, from which a watch continues.
     current_rev: int = 0
 
 
@@ -53,7 +53,7 @@
 
 
 class StoreClient:
-    """Own the connections to the store; count each call."""
+    """Call the store over HTTP and count the calls by path."""
 
     def __init__(self, address: str):
         self.base = f'http://{address}'
@@ -67,7 +67,7 @@
     async def get(
         self, key: str
     ) -> key_value.Found | key_value.Missing | key_value.Unavailable:
-        """Return a value."""
+        """Return the value of a key."""
         query = urllib.parse.urlencode({'key': key})
         reply = await self._call('GET', f'/-/kv-key?{query}')
         if isinstance(reply, key_value.Unavailable):
@@ -75,7 +75,7 @@
         if reply.code == 404:
             return key_value.Missing()
         item = msgspec.json.decode(reply.body, type=_Item)
-        return key_value.Found(_text(item), item.revision)
+        return key_value.Found(_decode_value(item), item.revision)
 
     async def put_all(
         self, values: tuple[key_value.Value, ...]
@@ -85,7 +85,7 @@
         | key_value.Missing
         | key_value.Unavailable
     ):
-        """Write all values or none; Missing: the lease has ended."""
+        """Write all values or none; return Missing if the lease has ended."""
         body = {
             'expect': [
                 {'key': value.key, 'revision': value.revision}
@@ -116,11 +116,12 @@
     ) -> key_value.Changes | key_value.Unavailable:
         """Return all values under a prefix.
 
-        Pages are no snapshot, so a watch has to go on from the revision of
-        the first.
+        The pages are not a consistent snapshot, so the returned revision is
+        that of the first page: a watch that continues from it also reports
+        the changes made between pages.
         """
         found: list[revisions.Change] = []
-        first: int | None = None
+        first_revision: int | None = None
         after = ''
         for _ in range(MAX_PAGES):
             query = {'path-prefix': prefix}
@@ -131,19 +132,21 @@
             if isinstance(reply, key_value.Unavailable):
                 return reply
             page = msgspec.json.decode(reply.body, type=_Page)
-            first = page.current_rev if first is None else first
+            first_revision = (
+                page.current_rev if first_revision is None else first_revision
+            )
             found += [_change(item) for item in page.items]
             if not page.has_more or not page.items:
                 break
             after = page.items[-1].key
-        return key_value.Changes(0, first or 0, found)
+        return key_value.Changes(0, first_revision or 0, found)
 
     async def changes(
         self, prefix: str, since: int, wait_ms: int
     ) -> (
         key_value.Changes | key_value.HistoryCompacted | key_value.Unavailable
     ):
-        """Return what changed under a prefix, waiting for the first."""
+        """Return the changes under a prefix, waiting for the first one."""
         query = urllib.parse.urlencode(
             {'path-prefix': prefix, 'after': since, 'wait-ms': wait_ms}
         )
@@ -162,7 +165,7 @@
     async def lease(
         self, ttl_ms: int
     ) -> key_value.Leased | key_value.Unavailable:
-        """Begin a lease."""
+        """Create a lease."""
         reply = await self._call('POST', '/-/kv-lease', {'ttl-ms': ttl_ms})
         if isinstance(reply, key_value.Unavailable):
             return reply
@@ -179,11 +182,11 @@
             return reply
         if reply.code == 404:
             return key_value.Missing()
-        kept = msgspec.json.decode(reply.body, type=_Lease)
-        return key_value.Leased(lease, kept.ttl_ms)
+        renewed = msgspec.json.decode(reply.body, type=_Lease)
+        return key_value.Leased(lease, renewed.ttl_ms)
 
     async def end(self, lease: int) -> bool:
-        """End a lease with all that is written under it."""
+        """End a lease and delete the values written under it."""
         reply = await self._call('DELETE', f'/-/kv-lease-end/{lease}')
         return not isinstance(reply, key_value.Unavailable)
 
@@ -205,12 +208,12 @@
         return reply
 
 
-def _text(item: _Item) -> str:
-    """Return an item's value; empty if it is no text.
+def _decode_value(item: _Item) -> str:
+    """Return an item's value, or an empty string if it is not text.
 
-    Others write there too. An error here would end the watch, and with it
-    all that this process learns; an empty value is no entry of any form, and
-    is told in the log as such.
+    Other programs write to the store too. An exception here would end the
+    watch, and this process would receive no further changes. An empty value
+    is not a valid entry of any kind, so it is logged as a bad entry.
     """
     try:
         return base64.b64decode(item.value or '').decode()
@@ -219,5 +222,5 @@
 
 
 def _change(item: _Item) -> revisions.Change:
-    value = None if item.deleted else _text(item)
+    value = None if item.deleted else _decode_value(item)
     return revisions.Change(item.key, item.revision, value)
--- a/topazring/platform/tests/fake_upstreams.py
+++ b/topazring/platform/tests/fake_upstreams.py
@@ -262,8 +262,10 @@
 
     def _status(self, session, request_id, rest):
         member = self.member
-        paused = member.paused_for_term
-        row = f'{member.role} {member.term} {self._place()} {paused}'
+        row = (
+            f'{member.role} {member.term} '
+            f'{self._place()} {member.paused_for_term}'
+        )
         return [f'ROW {row} 0 0 {len(self.streams)}', 'DONE -']
 
     def _pause(self, session, request_id, rest):
--- a/topazring/platform/tests/test_line_protocol.py
+++ b/topazring/platform/tests/test_line_protocol.py
@@ -163,7 +163,7 @@
 
     def test_every_command_can_be_written(self):
         """None is forgotten."""
-        known = set(upstream_codec._commands)
+        known = set(upstream_codec._encoders)
         self.assertEqual(set(statements.Command.__args__), known)
 
     @hypothesis.settings(derandomize=True, max_examples=150)
--- a/topazring/platform/upstream_codec.py
+++ b/topazring/platform/upstream_codec.py
@@ -1,4 +1,4 @@
-"""Write commands for upstreams, and read their replies."""
+"""Encode commands for upstreams and decode their replies."""
 
 import collections.abc
 
@@ -26,96 +26,100 @@
     'FAILED': Code.FAILED,
     'TIMEOUT': Code.TIMEOUT,
 }
-# Statements that are ours and not a caller's carry this id.
-_OWN_ID = '-'
-_WHO = 'topazring'
+# Request id of statements issued by the proxy itself.
+_PROXY_ID = '-'
+_CLIENT_NAME = 'topazring'
 _STATUS_FIELDS = 7
 
-Writer = collections.abc.Callable[[object], tuple[str, str]]
-_commands: dict[type, Writer] = {}
+Encoder = collections.abc.Callable[[object], tuple[str, str]]
+_encoders: dict[type, Encoder] = {}
 
 
-def _writes(kind: type) -> collections.abc.Callable[[Writer], Writer]:
-    """Register what writes a command as its id and text."""
+def _encodes(kind: type) -> collections.abc.Callable[[Encoder], Encoder]:
+    """Register the encoder of a command as request id and text."""
 
-    def register(writer: Writer) -> Writer:
-        _commands[kind] = writer
-        return writer
+    def register(encoder: Encoder) -> Encoder:
+        _encoders[kind] = encoder
+        return encoder
 
     return register
 
 
-def _after(place: log_positions.LogPosition | None, text: str) -> str:
-    if place is None:
+def _add_wait(position: log_positions.LogPosition | None, text: str) -> str:
+    """Return the text with the log position that it must wait for."""
+    if position is None:
         return text
-    return f'AFTER {place.log_term}.{place.position} {text}'
+    return f'AFTER {position.log_term}.{position.position} {text}'
 
 
-@_writes(statements.Begin)
+@_encodes(statements.Begin)
 def _begin(command: statements.Begin) -> tuple[str, str]:
     text = 'BEGIN READ' if command.read_only else 'BEGIN'
-    return _OWN_ID, _after(command.after, text)
+    return _PROXY_ID, _add_wait(command.after, text)
 
 
-@_writes(statements.Rollback)
+@_encodes(statements.Rollback)
 def _rollback(command: statements.Rollback) -> tuple[str, str]:
-    return _OWN_ID, 'ROLLBACK'
+    return _PROXY_ID, 'ROLLBACK'
 
 
-@_writes(statements.Commit)
+@_encodes(statements.Commit)
 def _commit(command: statements.Commit) -> tuple[str, str]:
     return command.request_id, 'COMMIT'
 
 
-@_writes(statements.Run)
+@_encodes(statements.Run)
 def _run(command: statements.Run) -> tuple[str, str]:
-    return command.request_id, _after(command.after, command.text)
+    return command.request_id, _add_wait(command.after, command.text)
 
 
-@_writes(statements.Execute)
+@_encodes(statements.Execute)
 def _execute(command: statements.Execute) -> tuple[str, str]:
     text = f'EXECUTE {command.name} {command.arguments}'
-    return command.request_id, _after(command.after, text)
+    return command.request_id, _add_wait(command.after, text)
 
 
-@_writes(statements.SetValue)
+@_encodes(statements.SetValue)
 def _set(command: statements.SetValue) -> tuple[str, str]:
-    return _OWN_ID, f'SET {command.name} {command.value}'
+    return _PROXY_ID, f'SET {command.name} {command.value}'
 
 
-@_writes(statements.Prepare)
+@_encodes(statements.Prepare)
 def _prepare(command: statements.Prepare) -> tuple[str, str]:
     access = command.access.upper()
-    return _OWN_ID, f'PREPARE {command.name} {access} {command.shape}'
+    return _PROXY_ID, f'PREPARE {command.name} {access} {command.shape}'
 
 
-@_writes(statements.Reset)
+@_encodes(statements.Reset)
 def _reset(command: statements.Reset) -> tuple[str, str]:
-    return _OWN_ID, 'RESET'
+    return _PROXY_ID, 'RESET'
 
 
-@_writes(statements.Status)
+@_encodes(statements.Status)
 def _status(command: statements.Status) -> tuple[str, str]:
-    return _OWN_ID, 'STATUS'
+    return _PROXY_ID, 'STATUS'
 
 
-@_writes(statements.Pause)
+@_encodes(statements.Pause)
 def _pause(command: statements.Pause) -> tuple[str, str]:
-    return _OWN_ID, f'PAUSE {command.term}'
+    return _PROXY_ID, f'PAUSE {command.term}'
 
 
-@_writes(statements.Resume)
+@_encodes(statements.Resume)
 def _resume(command: statements.Resume) -> tuple[str, str]:
-    return _OWN_ID, 'RESUME'
+    return _PROXY_ID, 'RESUME'
 
 
-@_writes(statements.Demote)
+@_encodes(statements.Demote)
 def _demote(command: statements.Demote) -> tuple[str, str]:
-    return _OWN_ID, f'DEMOTE {command.term}'
+    return _PROXY_ID, f'DEMOTE {command.term}'
 
 
 def parse_log_position(text: str) -> log_positions.LogPosition | None:
-    """Return TERM.NUMBER as a place, None for `-`; ValueError otherwise."""
+    """Return TERM.NUMBER as a log position and `-` as None.
+
+    Raises ValueError on any other text.
+    """
     if text == '-':
         return None
     term, _, number = text.partition('.')
@@ -123,32 +127,35 @@
 
 
 class _Reader:
-    """Read one connection's replies, the greeting first."""
+    """Decode the replies of one connection, starting with the greeting."""
 
     def __init__(self):
         self.splitter = line_protocol.LineSplitter()
         self.greeted = False
-        self._clear()
+        self._reset()
 
-    def _clear(self) -> None:
+    def _reset(self) -> None:
         self.rows: list[str] = []
         self.signature: str | None = None
         self.code: Code | None = None
         self.detail = ''
 
     def feed(self, data: bytes) -> list[statements.Reply]:
-        """Return complete replies; ValueError if it is no reply."""
+        """Return the replies completed by this data.
+
+        Raises ValueError on data that is not a reply.
+        """
         replies = []
         for line in self.splitter.feed(data):
             word, rest = line_protocol.parse_line(line)
-            if self._take(word, rest):
-                replies.append(self._reply(rest))
+            if self._add_line(word, rest):
+                replies.append(self._finish_reply(rest))
         if self.splitter.exceeds_limit():
             raise line_protocol.LineError('the message is too long')
         return replies
 
-    def _take(self, word: str, rest: str) -> bool:
-        """Take in a line; True if a reply is complete with it."""
+    def _add_line(self, word: str, rest: str) -> bool:
+        """Add a line; return whether it completes a reply."""
         match word:
             case 'ROW':
                 self.rows.append(rest)
@@ -157,25 +164,31 @@
             case 'ERROR':
                 code, _, self.detail = rest.partition(' ')
                 self.code = _CODES.get(code, Code.OTHER)
-                # A refused greeting is followed by the end.
+                # An upstream that refuses the connection closes it after
+                # this line, without a READY line.
                 return not self.greeted
             case 'READY':
                 return True
             case _:
-                raise line_protocol.LineError(f'no such reply: {word[:20]}')
+                raise line_protocol.LineError(f'unknown reply: {word[:20]}')
         return False
 
-    def _reply(self, rest: str) -> statements.Reply:
-        first = not self.greeted
+    def _finish_reply(self, rest: str) -> statements.Reply:
+        is_greeting = not self.greeted
         self.greeted = True
         state, place = SessionState.IDLE, None
-        if not (first and self.code is not None):
-            word, _, at = rest.partition(' ')
+        if not (is_greeting and self.code is not None):
+            word, _, position_text = rest.partition(' ')
             if word not in _STATES:
-                raise line_protocol.LineError(f'no such state: {word[:20]}')
-            state, place = _STATES[word], parse_log_position(at or '-')
-        if not first and self.signature is None and self.code is None:
-            raise line_protocol.LineError('an answer without its end')
+                raise line_protocol.LineError(
+                    f'unknown session state: {word[:20]}'
+                )
+            state, place = (
+                _STATES[word],
+                parse_log_position(position_text or '-'),
+            )
+        if not is_greeting and self.signature is None and self.code is None:
+            raise line_protocol.LineError('reply without DONE or ERROR')
         reply = statements.Reply(
             tuple(self.rows),
             self.signature,
@@ -183,46 +196,48 @@
             self.detail,
             state,
             place,
-            _report(self.rows) if self.signature == '-' else None,
+            _parse_status(self.rows) if self.signature == '-' else None,
         )
-        self._clear()
+        self._reset()
         return reply
 
 
-def _report(rows: list[str]) -> statements.StatusReport | None:
+def _parse_status(rows: list[str]) -> statements.StatusReport | None:
     if len(rows) != 1:
         return None
     fields = rows[0].split(' ')
     if len(fields) != _STATUS_FIELDS:
         return None
-    role, term, received, held, lag, busy, connections = fields
+    role, term, received, held_term, lag_ms, busy, connections = fields
     return statements.StatusReport(
         statements.Role(role),
         int(term),
         parse_log_position(received) or log_positions.ORIGIN,
-        int(held),
-        int(float(lag)),
+        int(held_term),
+        int(float(lag_ms)),
         int(busy),
         int(connections),
     )
 
 
 class UpstreamCodec:
-    """Speak with upstreams."""
+    """Encode and decode the line protocol of upstreams."""
 
     def hello(self, service: str, upstream: str) -> bytes:
-        """Return what opens a connection to just this upstream."""
-        return line_protocol.format_line('START', service, _WHO, upstream)
+        """Return the first line of a connection to this upstream."""
+        return line_protocol.format_line(
+            'START', service, _CLIENT_NAME, upstream
+        )
 
     def encode(self, commands: tuple[statements.Command, ...]) -> bytes:
-        """Return commands as they go out, in one piece."""
+        """Return the encoded commands, to be sent in a single write."""
         return b''.join(
             line_protocol.format_line(
-                'QUERY', *_commands[type(command)](command)
+                'QUERY', *_encoders[type(command)](command)
             )
             for command in commands
         )
 
     def reader(self) -> _Reader:
-        """Return a reader of one connection's replies."""
+        """Return a reader for the replies of one connection."""
         return _Reader()
--- a/topazring/plumbing/__init__.py
+++ b/topazring/plumbing/__init__.py
@@ -1,1 +1,1 @@
-"""Join libraries to the rest: settings files, logs, metrics, tasks."""
+"""Wrap libraries for the other packages: settings, logs, HTTP, sockets."""
--- a/topazring/plumbing/clock.py
+++ b/topazring/plumbing/clock.py
@@ -1,4 +1,4 @@
-"""Tell the time of one process."""
+"""Read the clocks of the instance."""
 
 import time
 
@@ -6,19 +6,22 @@
 
 
 def monotonic_ms() -> int:
-    """Return milliseconds that never go back, for durations."""
+    """Return the monotonic time in milliseconds, for durations."""
     return time.monotonic_ns() // 1_000_000
 
 
 def wall_ms() -> int:
-    """Return milliseconds since 1970, for ids that others judge."""
+    """Return the Unix time in milliseconds.
+
+    It is used in ids whose age other processes check.
+    """
     return time.time_ns() // 1_000_000
 
 
 def boottime_ms() -> int:
-    """Return milliseconds that go on while the instance is suspended.
+    """Return monotonic milliseconds that include time spent suspended.
 
-    A lease or an age that is measured by a clock that stands still with the
-    instance looks young after it wakes.
+    A clock that stops while the instance is suspended would make leases and
+    samples appear too recent after it resumes.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
--- a/topazring/plumbing/dialling.py
+++ b/topazring/plumbing/dialling.py
@@ -1,4 +1,4 @@
-"""Set sockets up so that a peer that vanished is noticed in seconds."""
+"""Configure sockets to detect unreachable peers within seconds."""
 
 import socket
 
@@ -7,10 +7,10 @@
 
 __all__ = ['KeepaliveClient', 'enable_keepalive']
 
-# A peer without power answers nothing, and a connection that something
-# between the two ends forgot is silent for good. Without these the kernel
-# waits a quarter of an hour. Probes cost a packet a second on idle
-# connections.
+# A peer that lost power sends nothing, and neither does a connection whose
+# state a middlebox has dropped. Without these options the kernel detects
+# that only after about 15 minutes. Probes cost one packet per second on each
+# idle connection.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
@@ -18,7 +18,7 @@
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Have the kernel end the connection when its peer is gone."""
+    """Make the kernel close the connection if its peer is unreachable."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -32,12 +32,12 @@
 
 
 class KeepaliveClient(tcpclient.TCPClient):
-    """Connect for tornado's HTTP client with keep-alive probes."""
+    """Open connections with keepalive probes for tornado's HTTP client."""
 
     async def connect(self, *args, **kwargs):
-        """Return a stream whose peer's end is noticed.
+        """Return a connected stream with keepalive probes enabled.
 
-        Raises StreamClosedError if it has ended already.
+        Raises StreamClosedError if the peer has closed it already.
         """
         stream = await super().connect(*args, **kwargs)
         if stream.closed():
--- a/topazring/plumbing/events.py
+++ b/topazring/plumbing/events.py
@@ -1,19 +1,21 @@
-"""Write one structured line for each decision, and never wait for it.
+"""Write a structured log line for each decision, without ever blocking.
 
-A line is a JSON object with these fields, and no others outside `inputs`:
+A line is a JSON object with only these fields:
 
 time_ms     wall clock, milliseconds since 1970
 process     the name of the process
-part        the part that decided
-event       what was decided, in a few words
-request     the caller's id of the request concerned, if there is one
-service     the group concerned, if there is one
-inputs      what decided it: names, places, ages, versions, outcomes
-
-No line holds a caller's data, keys or values. An ordinary success is no
-line. Above `LINES_A_SECOND` lines are dropped and counted, so that a storm
-of refusals costs a bounded part of a core. A reader that does not read
-fills a buffer of `BUFFER_BYTES`; what does not fit is dropped and counted.
+part        the component that made the decision
+event       the decision, in a few words
+request     the caller's id of the request, if there is one
+service     the group, if there is one
+inputs      the values behind the decision: names, log positions, ages,
+            versions, outcomes
+
+Lines never contain callers' data, keys or values. Ordinary successes are not
+logged. Lines beyond `MAX_LINES_PER_SECOND` are dropped and counted, so that a
+burst of refusals uses a bounded share of a core. While the reader of the log
+is stuck, lines are held in a buffer of `BUFFER_BYTES`; those that don't fit
+are dropped and counted.
 """
 
 import collections.abc
@@ -26,15 +28,15 @@
 
 __all__ = ['BUFFER_BYTES', 'EventLog', 'MAX_LINES_PER_SECOND']
 
-# A line costs some 30 microseconds; at this rate under one percent of a
-# core, and a day's incident is told by far fewer.
+# A line takes some 30 microseconds, so this rate uses less than one percent
+# of a core. An incident of a whole day produces far fewer lines.
 MAX_LINES_PER_SECOND = 200
 BURST_LINES = 400
 BUFFER_BYTES = 256 * 1024
 
 
 class _Sink(logging.Handler):
-    """Write lines to a descriptor without ever blocking."""
+    """Write lines to a file descriptor without ever blocking."""
 
     def __init__(self, descriptor: int):
         super().__init__()
@@ -45,7 +47,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or keep it until the reader goes on."""
+        """Write a line, or buffer it while the reader is not reading."""
         line = record.getMessage().encode() + b'\n'
         if len(self.buffer) + len(line) > BUFFER_BYTES:
             self.dropped += 1
@@ -54,28 +56,29 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
+        """Write as much of the buffer as possible without blocking."""
         while self.buffer:
             try:
                 written = os.write(self.descriptor, self.buffer[:65536])
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more: there is no one to tell.
+                # The reader has closed the log, so the error cannot be
+                # reported there.
                 self.dropped += self.buffer.count(b'\n')
                 self.buffer.clear()
                 return
             del self.buffer[:written]
 
     def close(self) -> None:
-        """Give the descriptor back as it was."""
+        """Flush and restore the blocking mode of the descriptor."""
         self.flush()
         os.set_blocking(self.descriptor, self._was_blocking)
         super().close()
 
 
 class EventLog:
-    """Own the structured log of one process."""
+    """Write the structured log of one process."""
 
     def __init__(self, process: str, descriptor: int = 1):
         self.process = process
@@ -89,15 +92,15 @@
         self.lines = 0
 
     def start(self) -> None:
-        """Send absl's log to the descriptor, one JSON object a line."""
+        """Send absl's log to the descriptor, as one JSON object per line."""
         self.sink = _Sink(self.descriptor)
         self.logger.handlers = [self.sink]
         self.logger.propagate = False
         self.logger.setLevel(logging.INFO)
 
     def close(self) -> None:
-        """Write what is left."""
-        self._tell_dropped()
+        """Report dropped lines and flush the buffer."""
+        self._report_dropped()
         if self.sink is not None:
             self.sink.close()
 
@@ -109,24 +112,24 @@
         service: str = '',
         inputs: collections.abc.Mapping[str, object] | None = None,
     ) -> None:
-        """Write one line, unless there have been too many."""
-        if not self._allowed():
+        """Write one line, or drop it if the rate limit is exceeded."""
+        if not self._is_allowed():
             self.dropped += 1
             return
-        self._tell_dropped()
+        self._report_dropped()
         self._write(part, event, request, service, inputs)
 
-    def _allowed(self) -> bool:
+    def _is_allowed(self) -> bool:
         now_s = time.monotonic()
-        earned = (now_s - self.refilled_s) * MAX_LINES_PER_SECOND
-        self.allowance = min(BURST_LINES, self.allowance + earned)
+        refill = (now_s - self.refilled_s) * MAX_LINES_PER_SECOND
+        self.allowance = min(BURST_LINES, self.allowance + refill)
         self.refilled_s = now_s
         if self.allowance < 1:
             return False
         self.allowance -= 1
         return True
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         count = self.dropped
         if self.sink is not None:
             count += self.sink.dropped
--- a/topazring/plumbing/framing.py
+++ b/topazring/plumbing/framing.py
@@ -1,4 +1,4 @@
-"""Send length-prefixed frames over a stream between two proxies."""
+"""Read and write length-prefixed frames on a stream between proxies."""
 
 import struct
 
@@ -8,21 +8,22 @@
 __all__ = ['Ping', 'Pong', 'FrameReader', 'read_frame', 'write_frame']
 
 _LENGTH = struct.Struct('>I')
-# A caller's message and what its session set, several times over.
+# Several times the size of a caller's largest message plus the values that
+# its session has set.
 MAX_FRAME_BYTES = 8_000_000
 READ_CHUNK_BYTES = 65536
 
 
 class Ping(msgspec.Struct, array_like=True, tag='p'):
-    """Ask for a sign of life."""
+    """Request a Pong to check that the peer is alive."""
 
 
 class Pong(msgspec.Struct, array_like=True, tag='o'):
-    """Give a sign of life."""
+    """Answer a Ping."""
 
 
 async def read_frame(stream: iostream.IOStream) -> bytes:
-    """Return the next frame's body; ValueError if it is too long."""
+    """Return the next frame's body; raise ValueError if it is too long."""
     (length,) = _LENGTH.unpack(await stream.read_bytes(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
         raise ValueError('the frame is too long')
@@ -30,47 +31,48 @@
 
 
 class FrameReader:
-    """Read a stream's frames, as many as come at once in one go.
+    """Read frames from a stream through a buffer.
 
-    Waiting for a length and then for a body would cost two waits a frame.
+    One wait can return several frames; reading the length and then the body
+    from the stream would cost two waits per frame.
     """
 
     def __init__(self, stream: iostream.IOStream):
         self.stream = stream
         self.buffer = bytearray()
-        # How much of it was returned already.
-        self.taken = 0
+        # Offset of the first byte that has not been returned yet.
+        self.offset = 0
 
     async def read(self) -> bytes:
-        """Return the next frame's body; ValueError if it is too long."""
+        """Return the next frame's body; raise ValueError if it is too long."""
         while True:
-            body = self._cut()
+            body = self._next_buffered()
             if body is not None:
                 return body
             self.buffer += await self.stream.read_bytes(
                 READ_CHUNK_BYTES, partial=True
             )
 
-    def _cut(self) -> bytes | None:
-        """Return the next frame's body, None if it is not whole yet."""
-        begin = self.taken + _LENGTH.size
-        if len(self.buffer) >= begin:
-            (length,) = _LENGTH.unpack_from(self.buffer, self.taken)
+    def _next_buffered(self) -> bytes | None:
+        """Return the next frame's body, or None if it is incomplete."""
+        body_start = self.offset + _LENGTH.size
+        if len(self.buffer) >= body_start:
+            (length,) = _LENGTH.unpack_from(self.buffer, self.offset)
             if length > MAX_FRAME_BYTES:
                 raise ValueError('the frame is too long')
-            end = begin + length
+            end = body_start + length
             if len(self.buffer) >= end:
-                self.taken = end
-                return bytes(self.buffer[begin:end])
-        del self.buffer[: self.taken]
-        self.taken = 0
+                self.offset = end
+                return bytes(self.buffer[body_start:end])
+        del self.buffer[: self.offset]
+        self.offset = 0
         return None
 
 
 def write_frame(stream: iostream.IOStream, body: bytes) -> bool:
-    """Send a frame; False if the stream is closed.
+    """Send a frame; return False if the stream is closed.
 
-    What fails later is seen by whoever reads from the stream.
+    Later write errors close the stream, which its reader detects.
     """
     try:
         stream.write(_LENGTH.pack(len(body)) + body)
--- a/topazring/plumbing/http_calls.py
+++ b/topazring/plumbing/http_calls.py
@@ -1,4 +1,4 @@
-"""Call over HTTP, with peers that may vanish."""
+"""Make HTTP calls to services that may become unreachable."""
 
 import dataclasses
 
@@ -17,20 +17,20 @@
     'make_client',
 ]
 
-# Services answer in milliseconds; a slow one in some hundred.
+# Services normally answer within milliseconds, slow ones within a few hundred.
 REQUEST_TIMEOUT_S = 1.0
 MAX_CONCURRENT_CALLS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoResponse:
-    """Report that there was no response; the call may have had its effect."""
+    """Report that no response arrived; the call may have taken effect."""
 
     detail: str
 
 
 def make_client() -> httpclient.AsyncHTTPClient:
-    """Return a client whose connections notice that their peer is gone."""
+    """Return a client whose connections detect unreachable peers."""
     client = simple_httpclient.SimpleAsyncHTTPClient(
         force_instance=True, max_clients=MAX_CONCURRENT_CALLS
     )
@@ -41,7 +41,7 @@
 def send_response(
     request: httputil.HTTPServerRequest, code: int, body: bytes
 ) -> None:
-    """Send the whole answer to a request."""
+    """Send the complete response to a request."""
     headers = httputil.HTTPHeaders({'Content-Length': str(len(body))})
     line = httputil.ResponseStartLine('HTTP/1.1', code, '')
     request.connection.write_headers(line, headers, body)
@@ -56,7 +56,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = REQUEST_TIMEOUT_S,
 ) -> httpclient.HTTPResponse | NoResponse:
-    """Return a response, whatever its code, or that there was none."""
+    """Return the response with any status code, or NoResponse."""
     raw = None
     if method == 'POST':
         raw = msgspec.json.encode(body or {})
--- a/topazring/plumbing/logs.py
+++ b/topazring/plumbing/logs.py
@@ -1,4 +1,4 @@
-"""Write short log lines with a fixed prefix for each part."""
+"""Write text log lines prefixed with the name of the component."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 
 class PartLogger(logging.LoggerAdapter):
-    """Put the part's name before each line."""
+    """Prefix each line with the name of the component."""
 
     def process(self, msg, kwargs):
         """Return the line with its prefix."""
@@ -18,13 +18,14 @@
 
 
 def part_logger(part: str) -> PartLogger:
-    """Return the logger of one part, over absl's."""
+    """Return a component's logger, which writes to absl's."""
     return PartLogger(absl_logging.get_absl_logger(), {'part': part})
 
 
 def configure(verbose: bool = False) -> None:
     """Send absl's log to standard error."""
-    # The command line is cappa's; absl would warn that its own is unread.
+    # cappa parses the command line. Without this call absl would warn that
+    # its flags have not been parsed.
     flags.FLAGS.mark_as_parsed()
     absl_logging.use_absl_handler()
     level = absl_logging.DEBUG if verbose else absl_logging.INFO
--- a/topazring/plumbing/settings_file.py
+++ b/topazring/plumbing/settings_file.py
@@ -1,4 +1,4 @@
-"""Read settings in JSON with comments and check them."""
+"""Read and validate settings files in JSON with comments."""
 
 import pathlib
 import typing
@@ -12,11 +12,11 @@
 
 
 class SettingsError(ValueError):
-    """Name the file, the key and the reason, in one line."""
+    """Describe a settings error in one line: file, key and reason."""
 
 
 def read_settings(path: str, model: type[Model]) -> Model:
-    """Return the checked settings; raise SettingsError on any fault."""
+    """Return the validated settings; raise SettingsError if invalid."""
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -25,18 +25,18 @@
 
 
 def read_text(text: str, model: type[Model], source: str) -> Model:
-    """Check settings that were read from `source`."""
+    """Parse and validate settings that were read from `source`."""
     try:
         return model.model_validate(json5.loads(text))
     except pydantic.ValidationError as error:
-        raise SettingsError(_first_fault(source, error)) from None
+        raise SettingsError(_describe_first_error(source, error)) from None
     except ValueError as error:
         raise SettingsError(f'{source}: is not JSON: {error}') from None
 
 
-def _first_fault(source: str, error: pydantic.ValidationError) -> str:
-    faults = error.errors(include_url=False)
-    first = faults[0]
+def _describe_first_error(source: str, error: pydantic.ValidationError) -> str:
+    errors = error.errors(include_url=False)
+    first = errors[0]
     key = '.'.join(str(part) for part in first['loc']) or '(whole)'
-    more = f' (and {len(faults) - 1} more)' if len(faults) > 1 else ''
+    more = f' (and {len(errors) - 1} more)' if len(errors) > 1 else ''
     return f'{source}: {key}: {first["msg"]}{more}'
--- a/topazring/plumbing/sockets.py
+++ b/topazring/plumbing/sockets.py
@@ -1,4 +1,4 @@
-"""Write to WebSockets whose other end may be gone."""
+"""Write to WebSockets whose peer may have disconnected."""
 
 from tornado import websocket
 
@@ -6,19 +6,19 @@
 
 
 def write_if_open(socket, raw: str | bytes, binary: bool = False) -> bool:
-    """Write a frame; False if the socket is known to be closed.
+    """Write a frame; return False if the socket is known to be closed.
 
-    A write can also fail later. Whoever waits for an answer finds out by
-    the socket's end; the write's own error would only fill the log.
+    A write can also fail later. Code that waits for an answer detects that
+    when the socket closes, so the error is not logged as well.
     """
     try:
         written = socket.write_message(raw, binary)
     except websocket.WebSocketClosedError:
         return False
-    written.add_done_callback(_take_error)
+    written.add_done_callback(_retrieve_error)
     return True
 
 
-def _take_error(written) -> None:
+def _retrieve_error(written) -> None:
     if not written.cancelled():
         written.exception()
--- a/topazring/plumbing/tests/test_events.py
+++ b/topazring/plumbing/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Write logs without ever waiting for their reader."""
+"""Test the structured event log."""
 
 import json
 import os
@@ -10,10 +10,10 @@
 
 
 class EventsTest(testtools.TestCase):
-    """Bounded, never blocking, one object a line."""
+    """Check that the log is bounded, non-blocking and one object per line."""
 
     def setUp(self):
-        """Log into a pipe."""
+        """Start a log that writes to a pipe."""
         super().setUp()
         self.reader, self.writer = os.pipe()
         self.addCleanup(os.close, self.reader)
@@ -21,7 +21,7 @@
         self.log.start()
 
     def lines(self) -> list[dict]:
-        """Return what was written, once the log is closed."""
+        """Close the log and return the lines written to it."""
         self.log.close()
         os.close(self.writer)
         raw = b''
@@ -30,7 +30,7 @@
         return [json.loads(line) for line in raw.splitlines()]
 
     def test_fields(self):
-        """As documented; what is empty is left out."""
+        """Lines have the documented fields; empty ones are omitted."""
         self.log.emit('group', 'gave up', 'r1', 's', {'after_ms': 7})
         (line,) = self.lines()
         self.assertEqual(
@@ -45,11 +45,11 @@
         )  # fmt: skip
 
     def test_blocked_reader(self):
-        """A reader that stopped stops nobody else.
+        """A stuck log reader must not block the process.
 
-        Symptom: every proxy stands still. Sequence: the program that
-        collects the logs hangs; the pipe fills; the next line waits. Cause:
-        a write that blocks.
+        Guards against proxies that hang: the program that collects the logs
+        hangs, the pipe fills up, and a blocking write of the next line never
+        returns.
         """
         self.log.allowance = 10**9
         began_s = time.monotonic()
@@ -62,7 +62,7 @@
         self.assertLessEqual(size, events.BUFFER_BYTES)
 
     def test_volume_is_bounded(self):
-        """A storm of refusals is counted, not told line by line."""
+        """A burst of events is rate-limited; dropped lines are counted."""
         for _ in range(3000):
             self.log.emit('group', 'gave up')
         self.log.allowance = 10.0
@@ -74,5 +74,5 @@
             for line in lines
             if line['event'] == 'lines dropped'
         ]
-        told = sum(line['event'] == 'gave up' for line in lines)
-        self.assertEqual(3000, told + sum(dropped))
+        written = sum(line['event'] == 'gave up' for line in lines)
+        self.assertEqual(3000, written + sum(dropped))
--- a/topazring/plumbing/tests/test_framing.py
+++ b/topazring/plumbing/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames pass whole, or the reader is told."""
+"""Test the framing of messages between proxies."""
 
 import asyncio
 import socket
@@ -10,10 +10,10 @@
 
 
 class FramingTest(testtools.TestCase):
-    """Two ends of one stream."""
+    """Send frames between two ends of a socket pair."""
 
-    def play(self, steps):
-        """Run `steps(near, far)` with both ends."""
+    def run_steps(self, steps):
+        """Run `steps(near, far)` with the two ends."""
 
         async def run():
             near, far = (
@@ -26,7 +26,7 @@
         asyncio.run(run())
 
     def test_frames_arrive_one_by_one(self):
-        """Also empty ones."""
+        """Frames, also empty ones, are read one at a time."""
 
         async def steps(near, far):
             for body in (b'one', b'', b'three'):
@@ -34,10 +34,10 @@
             read = [await framing.read_frame(far) for _ in range(3)]
             self.assertEqual([b'one', b'', b'three'], read)
 
-        self.play(steps)
+        self.run_steps(steps)
 
-    def test_frames_that_come_together(self):
-        """Several at once, and one in pieces."""
+    def test_several_frames_in_one_read(self):
+        """Frames that arrive together and in pieces are read whole."""
 
         async def steps(near, far):
             frames = b''.join(
@@ -55,10 +55,10 @@
             near.write(frames[-5:])
             self.assertEqual(b'last', await waiting)
 
-        self.play(steps)
+        self.run_steps(steps)
 
     def test_good_frame_before_a_bad_length(self):
-        """It is read, and then the reader is told."""
+        """A frame ahead of a bad length is still read; then reading fails."""
 
         async def steps(near, far):
             near.write(b'\0\0\0\3one\xff\xff\xff\xff')
@@ -67,10 +67,13 @@
             with testtools.ExpectedException(ValueError, '.*too long'):
                 await reader.read()
 
-        self.play(steps)
+        self.run_steps(steps)
 
-    def test_length_that_nobody_would_send(self):
-        """The other end speaks something else; its bytes are not awaited."""
+    def test_excessive_length(self):
+        """An excessive length fails at once, without reading the body.
+
+        It means that the peer uses another protocol.
+        """
 
         async def steps(near, far):
             await near.write(b'\xff\xff\xff\xff')
@@ -81,13 +84,13 @@
             else:
                 self.fail('read')
 
-        self.play(steps)
+        self.run_steps(steps)
 
     def test_closed_stream(self):
-        """The writer is told at once."""
+        """Writing to a closed stream returns False."""
 
         async def steps(near, far):
             near.close()
             self.assertFalse(framing.write_frame(near, b'one'))
 
-        self.play(steps)
+        self.run_steps(steps)
