--- a/topazring/catalogue.py
+++ b/topazring/catalogue.py
@@ -1,4 +1,4 @@
-"""Check and hold what operators configure."""
+"""Validate and hold the values that operators configure."""
 
 import collections
 import dataclasses
@@ -32,7 +32,7 @@
 
 
 def register_kind(name: str):
-    """Register the model of one kind of configured thing."""
+    """Register the model of one kind of configured value."""
 
     def register(model: type[pydantic.BaseModel]):
         _kinds[name] = model
@@ -42,7 +42,7 @@
 
 
 def kinds() -> tuple[str, ...]:
-    """Return the kinds of things that can be configured."""
+    """Return the kinds of values that can be configured."""
     return tuple(_kinds)
 
 
@@ -58,7 +58,7 @@
 
 @register_kind('profile')
 class ProfileModel(_Model):
-    """Say what a class of traffic accepts."""
+    """Describe the staleness and deadlines that a traffic class accepts."""
 
     max_staleness_ms: Milliseconds = 0
     repeatable: bool = False
@@ -70,13 +70,13 @@
 
 @register_kind('organisation')
 class OrganisationModel(_Model):
-    """Hold the hash of an organisation's key, never the key."""
+    """Hold the hash of an organisation's key; the key is never stored."""
 
     key_sha256: str = pydantic.Field(pattern=r'^[0-9a-f]{64}$')
 
 
 class UpstreamModel(_Model):
-    """Say where an upstream listens."""
+    """Describe the address and data centre of an upstream."""
 
     name: Name
     host: str = '127.0.0.1'
@@ -97,7 +97,10 @@
 
 @register_kind('token-key')
 class TokenKeyModel(_Model):
-    """Hold a key that signs session tokens; the last by name signs."""
+    """Hold a key for session tokens.
+
+    New tokens are signed with the key whose name sorts last.
+    """
 
     secret_hex: str = pydantic.Field(pattern=r'^[0-9a-f]{64,}$')
 
@@ -112,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamAddress:
-    """Say where an upstream listens."""
+    """Describe the address and data centre of an upstream."""
 
     name: str
     host: str
@@ -134,7 +137,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Catalogue:
-    """Hold all that is configured, ready for use."""
+    """Hold all configured values in a form that is ready for use."""
 
     profiles: dict[str, requests.Profile] = dataclasses.field(
         default_factory=dict
@@ -142,8 +145,8 @@
     organisations: dict[str, Organisation] = dataclasses.field(
         default_factory=dict
     )
-    # Most of 3,200 databases are of no use to one proxy: they are kept as
-    # they came, with their regions, and built when asked for.
+    # One proxy uses few of the 3,200 databases, so each is stored as the text
+    # received, with its region, and parsed when it is first requested.
     database_texts: dict[str, str] = dataclasses.field(default_factory=dict)
     regions: dict[str, str] = dataclasses.field(default_factory=dict)
     database_cache: collections.OrderedDict[str, Database] = dataclasses.field(
@@ -152,7 +155,7 @@
     token_keys: dict[str, bytes] = dataclasses.field(default_factory=dict)
 
     def database(self, name: str) -> Database | None:
-        """Return a database, built anew if it was not used lately."""
+        """Return a database from the cache, or parse it; None if unknown."""
         found = self.database_cache.get(name)
         if found is not None:
             self.database_cache.move_to_end(name)
@@ -167,56 +170,56 @@
         return found
 
     def verifying_keys(self) -> list[bytes]:
-        """Return the keys that a token may be signed with."""
+        """Return the keys that are accepted for verifying tokens."""
         return list(self.token_keys.values())
 
     def signing_key(self) -> bytes | None:
-        """Return the key that signs new tokens."""
+        """Return the key for signing new tokens, None if there is none."""
         if not self.token_keys:
             return None
         return self.token_keys[max(self.token_keys)]
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which an organisation's key is configured."""
+    """Return the hash of an organisation's key as it is configured."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def check(kind: str, value: object) -> pydantic.BaseModel:
-    """Check a value; raises pydantic.ValidationError."""
+    """Validate a value; raise pydantic.ValidationError if invalid."""
     return _kinds[kind].model_validate(value)
 
 
 def apply_changes(
     catalogue: Catalogue, changes: list[revisions.Change]
 ) -> list[str]:
-    """Take changes into the catalogue; return what was passed over.
+    """Apply changes to the catalogue; return messages for those skipped.
 
-    A value that does not pass its check was not written by this version's
-    tools. The value in force stays in force: losing a profile would refuse
-    all traffic that names it.
+    A value that fails validation was not written by the tools of this
+    version. The previous value stays in force, because dropping a profile
+    would cause all traffic that names it to be refused.
     """
-    faults = []
+    errors = []
     for change in changes:
         _, kind, name = change.key.split('/', 2)
         if kind not in _kinds:
-            faults.append(f'{change.key}: unknown kind')
+            errors.append(f'{change.key}: unknown kind')
             continue
         if change.value is None:
-            _drop(catalogue, kind, name)
+            _remove(catalogue, kind, name)
             continue
         try:
             model = _parse(kind, change.value)
         except ValueError as error:
-            faults.append(f'{change.key}: {error}')
+            errors.append(f'{change.key}: {error}')
             continue
         if kind == 'database':
             catalogue.database_cache.pop(name, None)
             catalogue.database_texts[name] = change.value
             catalogue.regions[name] = sys.intern(model.region)
         else:
-            _table(catalogue, kind)[name] = _build(kind, name, model)
-    return faults
+            _table_of(catalogue, kind)[name] = _build(kind, name, model)
+    return errors
 
 
 def _parse(kind: str, text: str) -> pydantic.BaseModel:
@@ -225,16 +228,16 @@
     return check(kind, raw)
 
 
-def _drop(catalogue: Catalogue, kind: str, name: str) -> None:
+def _remove(catalogue: Catalogue, kind: str, name: str) -> None:
     if kind != 'database':
-        _table(catalogue, kind).pop(name, None)
+        _table_of(catalogue, kind).pop(name, None)
         return
     catalogue.database_cache.pop(name, None)
     catalogue.database_texts.pop(name, None)
     catalogue.regions.pop(name, None)
 
 
-def _table(catalogue: Catalogue, kind: str) -> dict:
+def _table_of(catalogue: Catalogue, kind: str) -> dict:
     return {
         'profile': catalogue.profiles,
         'organisation': catalogue.organisations,
@@ -251,8 +254,13 @@
         case 'token-key':
             return bytes.fromhex(model.secret_hex)
     upstreams = tuple(
-        UpstreamAddress(u.name, u.host, u.port, u.data_centre)
-        for u in model.upstreams
+        UpstreamAddress(
+            upstream.name,
+            upstream.host,
+            upstream.port,
+            upstream.data_centre,
+        )
+        for upstream in model.upstreams
     )
     return Database(
         name,
--- a/topazring/client.py
+++ b/topazring/client.py
@@ -1,4 +1,4 @@
-"""Talk to topazring as a caller does.
+"""Connect to a topazring proxy as a caller.
 
 >>> async def save(url):  # doctest: +SKIP
 ...     session = client.Session(url, 'ballinure', 'key', 'calc1', 'saves')
@@ -27,12 +27,12 @@
 
 
 class ConnectionLost(Exception):
-    """Say that the connection ended before the answer came."""
+    """Raised if the connection ended before the answer arrived."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold the one final answer to a request."""
+    """Hold the final answer to a request."""
 
     outcome: str
     rows: list[list[typing.Any]] = dataclasses.field(default_factory=list)
@@ -45,19 +45,19 @@
 
     @property
     def done(self) -> bool:
-        """Say whether the request ran."""
+        """Return whether the request ran."""
         return self.outcome == 'done'
 
 
 def new_request_id() -> str:
-    """Return a fresh id for a write; keep it to repeat that same write."""
+    """Return a new request id; retries of a write must reuse its id."""
     return request_ids.make_request_id(
         time.time_ns() // 1_000_000, secrets.token_hex(8)
     )
 
 
 class Session:
-    """Own one connection to one proxy; answers may come out of order."""
+    """Hold one connection to a proxy; answers may arrive out of order."""
 
     def __init__(
         self,
@@ -75,12 +75,13 @@
             'database': database,
             'profile': profile,
         }
-        # Carries the session to another proxy; the last one is enough.
+        # Resumes the session at any proxy; only the latest token is needed.
         self.token = token
         self.socket: websocket.WebSocketClientConnection | None = None
         self.waiting: dict[int, asyncio.Future] = {}
         self.next_id = 1
-        # The proxy asked this session to move, with its token, elsewhere.
+        # Whether the proxy asked the client to reconnect to another proxy
+        # with its token.
         self.leaving = False
 
     async def start(self) -> Answer:
@@ -88,7 +89,7 @@
         self.socket = await websocket.websocket_connect(
             self.url,
             connect_timeout=CONNECT_TIMEOUT_S,
-            on_message_callback=self._received,
+            on_message_callback=self._handle_message,
         )
         frame = {'type': 'hello', **self.hello}
         if self.token:
@@ -104,9 +105,10 @@
     async def read(
         self, statement: str, parameters=(), token: str = ''
     ) -> Answer:
-        """Run a statement that changes nothing.
+        """Run a read-only statement.
 
-        `token` is what another session of the same caller has seen.
+        `token` is the session token of another session of the same caller;
+        the read reflects what that session has seen.
         """
         frame = {
             'type': 'read',
@@ -124,7 +126,7 @@
         request_id: str = '',
         repeat: bool = False,
     ) -> Answer:
-        """Run a write; `repeat` says that the id was sent before."""
+        """Run a write; set `repeat` if the id has been sent before."""
         return await self.send(
             {
                 'type': 'write',
@@ -175,11 +177,14 @@
         )
 
     async def rollback(self) -> Answer:
-        """Drop the open transaction."""
+        """Roll back the open transaction."""
         return await self.send({'type': 'rollback'})
 
     async def send(self, frame: dict) -> Answer:
-        """Send a frame; raise ConnectionLost if no answer can come."""
+        """Send a frame and return the answer.
+
+        Raises ConnectionLost if the connection ends first.
+        """
         if self.socket is None:
             raise ConnectionLost('the session is closed')
         frame_id = self.next_id
@@ -190,9 +195,9 @@
         sockets.write_if_open(self.socket, text)
         return await answered
 
-    def _received(self, raw: str | None) -> None:
+    def _handle_message(self, raw: str | None) -> None:
         if raw is None:
-            self._lost()
+            self._handle_closed()
             return
         frame = json.loads(raw)
         if frame['outcome'] == 'leaving':
@@ -205,7 +210,7 @@
         if answered is not None and not answered.done():
             answered.set_result(answer)
 
-    def _lost(self) -> None:
+    def _handle_closed(self) -> None:
         self.socket = None
         waiting = list(self.waiting.values())
         self.waiting.clear()
--- a/topazring/key_value.py
+++ b/topazring/key_value.py
@@ -1,4 +1,4 @@
-"""Type what a key-value service answers, whichever service it is."""
+"""Define the interface and the results of a key-value service."""
 
 import dataclasses
 import typing
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """Hold a value and the tag that a swap has to name."""
+    """Hold a value and the revision to name in a compare-and-swap."""
 
     value: str
     revision: int
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Missing:
-    """Report that there is no such value or lease."""
+    """Report that the value or lease does not exist."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,35 +41,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Report that another write came first."""
+    """Report that the value has changed since the expected revision."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Report that the service did not answer; a write may have happened."""
+    """Report that the service did not answer; a write may have run."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryCompacted:
-    """Report that the changes asked for are not kept any more."""
+    """Report that the requested changes have been compacted away."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Hold what changed after `since`, up to `upto`."""
+    """Hold the changes after revision `since`, up to `upto` inclusive."""
 
     since: int
     upto: int
     changes: list[revisions.Change]
-    # The answer was cut; what follows `upto` is to be asked for at once.
+    # The result was truncated: request the changes after `upto` immediately.
     more: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leased:
-    """Hold a lease: what is written under it goes when it ends."""
+    """Hold a lease; values written under it are deleted when it ends."""
 
     lease: int
     ttl_ms: int
@@ -77,7 +77,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Value:
-    """Name a value to be written if it is still at `revision`; 0: absent."""
+    """Describe a write that requires the key to be at `revision`.
+
+    Revision 0 requires the key to be absent.
+    """
 
     key: str
     value: str
@@ -86,32 +89,32 @@
 
 
 class Store(typing.Protocol):
-    """Say what a key-value service with leases and watches can do."""
+    """Define the methods of a key-value store with leases and watches."""
 
     async def get(self, key: str) -> Found | Missing | Unavailable:
-        """Return a value."""
+        """Return the value of a key."""
 
     async def put_all(
         self, values: tuple[Value, ...]
     ) -> Written | Conflict | Missing | Unavailable:
-        """Write all values or none; Missing: the lease has ended."""
+        """Write all values or none; return Missing if the lease has ended."""
 
     async def read_all(self, prefix: str) -> Changes | Unavailable:
-        """Return all values under a prefix and the revision to go on from."""
+        """Return all values under a prefix and the revision to watch from."""
 
     async def changes(
         self, prefix: str, since: int, wait_ms: int
     ) -> Changes | HistoryCompacted | Unavailable:
-        """Return what changed under a prefix, waiting for the first."""
+        """Return the changes under a prefix, waiting for the first one."""
 
     async def lease(self, ttl_ms: int) -> Leased | Unavailable:
-        """Begin a lease."""
+        """Create a lease."""
 
     async def renew_lease(self, lease: int) -> Leased | Missing | Unavailable:
         """Renew a lease."""
 
     async def end(self, lease: int) -> bool:
-        """End a lease with all that is written under it."""
+        """End a lease and delete the values written under it."""
 
     def close(self) -> None:
         """Close the connections."""
--- a/topazring/platform_client.py
+++ b/topazring/platform_client.py
@@ -1,4 +1,4 @@
-"""Call the platform's service: values, compare-and-swap, watches."""
+"""Access the platform's key-value service and its list of instances."""
 
 import collections
 import json
@@ -25,7 +25,7 @@
 
 
 class PlatformClient:
-    """Own the connections to the platform's service; count each call."""
+    """Call the platform's service and count the calls by method."""
 
     def __init__(self, host: str, port: int, caller: str):
         self.base = f'http://{host}:{port}'
@@ -42,7 +42,7 @@
     async def get(
         self, key: str
     ) -> key_value.Found | key_value.Missing | key_value.Unavailable:
-        """Return a value."""
+        """Return the value of a key."""
         reply = await self._call('GET', f'/kv/{key}')
         if isinstance(reply, key_value.Unavailable):
             return reply
@@ -53,60 +53,69 @@
     async def put(
         self, key: str, value: str, revision: int | None
     ) -> key_value.Written | key_value.Conflict | key_value.Unavailable:
-        """Write a value if it is still at `revision`; None: still absent."""
+        """Write a value if it is at `revision`, or absent if that is None."""
         reply = await self._call(
-            'PUT', f'/kv/{key}', body=value, headers=_condition(revision)
+            'PUT',
+            f'/kv/{key}',
+            body=value,
+            headers=_precondition_headers(revision),
         )
-        return _written(reply)
+        return _write_result(reply)
 
     async def delete(
         self, key: str, revision: int
     ) -> key_value.Written | key_value.Conflict | key_value.Unavailable:
-        """Delete a value if it is still at `revision`."""
+        """Delete a value if it is at `revision`."""
         reply = await self._call(
-            'DELETE', f'/kv/{key}', headers=_condition(revision)
+            'DELETE', f'/kv/{key}', headers=_precondition_headers(revision)
         )
-        return _written(reply)
+        return _write_result(reply)
 
     async def changes(
         self, prefix: str, since: int, wait_ms: int = 0
     ) -> key_value.Changes | key_value.Unavailable:
-        """Return what changed under a prefix, waiting for the first."""
+        """Return the changes under a prefix.
+
+        Waits up to `wait_ms` for the first change.
+        """
         query = urllib.parse.urlencode(
             {'prefix': prefix, 'since': since, 'wait_ms': wait_ms}
         )
-        return await self._changes(f'/watch?{query}', since, wait_ms)
+        return await self._read_changes(f'/watch?{query}', since, wait_ms)
 
     async def instances(
         self, since: int, wait_ms: int = 0
     ) -> key_value.Changes | key_value.Unavailable:
-        """Return what changed in the list of instances."""
+        """Return the changes in the list of instances."""
         query = f'since={since}&wait_ms={wait_ms}'
-        return await self._changes(f'/instances?{query}', since, wait_ms)
+        return await self._read_changes(f'/instances?{query}', since, wait_ms)
 
     async def all_changes(
         self, prefix: str
     ) -> key_value.Changes | key_value.Unavailable:
-        """Return all values under a prefix, page by page."""
-        return await _collect(lambda since: self.changes(prefix, since))
+        """Return all values under a prefix, reading every page."""
+        return await _read_pages(lambda since: self.changes(prefix, since))
 
     async def all_instances(self) -> key_value.Changes | key_value.Unavailable:
-        """Return the whole list of instances, page by page."""
-        return await _collect(self.instances)
+        """Return the whole list of instances, reading every page."""
+        return await _read_pages(self.instances)
 
     async def announce(self, name: str, instance: dict) -> bool:
-        """Have this instance listed; say whether the service answered."""
+        """List this instance; return whether the service answered."""
         reply = await self._call(
             'PUT', f'/instances/{name}', body=json.dumps(instance)
         )
         return not isinstance(reply, key_value.Unavailable)
 
     async def withdraw(self, name: str) -> bool:
-        """Have this instance taken off the list."""
+        """Remove this instance from the list.
+
+        Returns whether the service answered.
+        """
         reply = await self._call('DELETE', f'/instances/{name}')
         return not isinstance(reply, key_value.Unavailable)
 
-    async def _changes(
+    async def _read_changes(
         self, path: str, since: int, wait_ms: int
     ) -> key_value.Changes | key_value.Unavailable:
         reply = await self._call('GET', path, wait_ms=wait_ms)
@@ -143,11 +152,11 @@
         return reply
 
 
-async def _collect(ask) -> key_value.Changes | key_value.Unavailable:
+async def _read_pages(read_page) -> key_value.Changes | key_value.Unavailable:
     found: list[revisions.Change] = []
     since = 0
     while True:
-        page = await ask(since)
+        page = await read_page(since)
         if isinstance(page, key_value.Unavailable):
             return page
         found += page.changes
@@ -156,7 +165,7 @@
             return key_value.Changes(0, since, found)
 
 
-def _condition(revision: int | None) -> dict[str, str]:
+def _precondition_headers(revision: int | None) -> dict[str, str]:
     if revision is None:
         return {'If-None-Match': '*'}
     return {'If-Match': f'"{revision}"'}
@@ -166,7 +175,7 @@
     return int(reply.headers['ETag'].strip('"'))
 
 
-def _written(
+def _write_result(
     reply: httpclient.HTTPResponse | key_value.Unavailable,
 ) -> key_value.Written | key_value.Conflict | key_value.Unavailable:
     if isinstance(reply, key_value.Unavailable):
--- a/topazring/wire.py
+++ b/topazring/wire.py
@@ -1,4 +1,4 @@
-"""Define the frames between proxies and upstreams."""
+"""Define the frames exchanged between proxies and upstreams."""
 
 import typing
 
@@ -31,7 +31,7 @@
     term: int
     statements: list[tuple[str, list[typing.Any]]] = []
     request_id: str = ''
-    # A replica runs the read once it has reached this place.
+    # A replica runs the read once it has applied this log position.
     at_replica: bool = False
     wait_log_term: int = 0
     wait_position: int = 0
@@ -39,7 +39,7 @@
 
 
 class SqlReply(msgspec.Struct, omit_defaults=True):
-    """Say what became of the statements: ran, refused or failed."""
+    """Report whether the statements ran, were refused or failed."""
 
     id: int
     result: str
@@ -56,8 +56,9 @@
 class ControlAsk(msgspec.Struct, array_like=True, omit_defaults=True):
     """Ask an upstream for its status, to accept a term, or to lead it.
 
-    Control frames are msgpack arrays: an owner sends and gets some 30 a
-    second for each database, and the control budget is 3 KB a second.
+    Control frames are msgpack arrays to save space: an owner sends and
+    receives some 30 per second for each database, and the budget for control
+    traffic is 3 KB per second.
     """
 
     id: int
@@ -70,7 +71,7 @@
 
 
 class ControlReply(msgspec.Struct, array_like=True, omit_defaults=True):
-    """Report an upstream's status, and whether it did as asked."""
+    """Report an upstream's status and whether it accepted the request."""
 
     id: int
     accepted_term: int
@@ -92,7 +93,7 @@
 def status_of(
     upstream: str, reply: ControlReply | SqlReply
 ) -> messages.Status:
-    """Return the status that a reply carries."""
+    """Return the upstream status contained in a reply."""
     silent_ms = 0
     if isinstance(reply, ControlReply):
         silent_ms = reply.primary_silent_ms
