--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -1,4 +1,4 @@
-"""Take a caller's request to an owner and see it to its final answer."""
+"""Forward callers' requests to owners until each has a final outcome."""
 
 import asyncio
 import dataclasses
@@ -21,13 +21,14 @@
 Kind = requests.Kind
 Reason = outcomes.Reason
 TICK_INTERVAL_S = 0.1
-# Of what waits for a database at its owner, one entry may fill this part.
+# Largest share of an owner's request queue for a database that the requests
+# of one entry may occupy.
 QUEUE_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenTransaction:
-    """Name the owner that holds a transaction, and its number there."""
+    """Identify an open transaction by its owner and its number there."""
 
     owner: str
     transaction: int
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """Hold a caller's request as the entry takes it in."""
+    """Represent a caller's request that is to be forwarded to an owner."""
 
     kind: Kind
     organisation: str
@@ -50,7 +51,7 @@
 
 
 class Entry:
-    """Own the streams to owners; forward jobs."""
+    """Manage the streams to owners and forward jobs over them."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         self.knowledge = knowledge
         self.ownership = ownership
         self.clients: dict[str, hop.HopClient] = {}
-        # What is under way to each owner, for each database.
+        # Limits on the requests in flight, by owner and database.
         self.windows: dict[tuple[str, str], windows.Window] = {}
         self.retries: dict[str, int] = {}
         self.hops = 0
@@ -70,12 +71,12 @@
         self.task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to look after the streams."""
+        """Start the periodic check of the streams."""
         self.task = asyncio.create_task(self._tick_forever())
 
     async def _tick_forever(self) -> None:
-        # One timer for all: with a stream to each of 2,000 owners, a timer
-        # a stream would be 20,000 wake-ups a second.
+        # One timer serves all streams: with streams to 2,000 owners, one
+        # timer per stream would cause 20,000 wake-ups per second.
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             now_ms = clock.monotonic_ms()
@@ -83,7 +84,7 @@
                 client.tick(now_ms)
 
     def close(self) -> None:
-        """Close the streams."""
+        """Stop the periodic check and close the streams."""
         if self.task is not None:
             self.task.cancel()
         for client in self.clients.values():
@@ -91,14 +92,17 @@
         self.clients.clear()
 
     def refresh(self) -> None:
-        """Close streams to processes that are gone."""
+        """Remove streams and windows of processes that are no longer listed.
+
+        Those that still have requests pending are kept.
+        """
         listed = self.knowledge.members.listed
         for key, client in list(self.clients.items()):
             name, incarnation = key
             member = listed.get(name)
-            gone = member is None or member.incarnation != incarnation
-            # A leaving owner still answers what it has.
-            if gone and not client.pending:
+            is_stale = member is None or member.incarnation != incarnation
+            # An owner that is shutting down still answers its requests.
+            if is_stale and not client.pending:
                 client.close()
                 del self.clients[key]
         for key, window in list(self.windows.items()):
@@ -108,7 +112,7 @@
     async def run(
         self, job: Job
     ) -> tuple[outcomes.Outcome, OpenTransaction | None]:
-        """Return the final outcome, and the transaction if one began."""
+        """Return the final outcome, and the transaction if one was opened."""
         self.in_flight += 1
         try:
             return await self._run(job)
@@ -138,7 +142,8 @@
             if window and not windows.has_capacity(window, job.organisation):
                 if not plan.maybe_ran:
                     return self._refuse_overload(window), None
-                # Its fate is open, so it waits for its turn to ask.
+                # The request may have run, so it is not refused here: it
+                # waits for capacity to query its outcome.
                 await asyncio.sleep(forwarding.PAUSE_MS / 1000)
                 continue
             result = await self._send_counted(job, step, window)
@@ -152,28 +157,29 @@
                 return outcome, OpenTransaction(step.owner, transaction)
 
     def _owners(self, job: Job) -> tuple[str, ...]:
-        """Return the owners, those first that can be reached from here."""
+        """Return the owners of the database, reachable ones first."""
         owners = self.ownership.owners_of(job.database)
         now_ms = clock.monotonic_ms()
         members = self.knowledge.members
-        near = [
+        reachable = [
             n for n in owners if membership.is_reachable(members, n, now_ms)
         ]
-        return (*near, *(n for n in owners if n not in near))
+        return (*reachable, *(n for n in owners if n not in reachable))
 
     def _window(self, owner: str, job: Job) -> windows.Window | None:
-        """Return what bounds a request there; None if nothing does.
+        """Return the in-flight limit that applies; None if there is none.
 
-        An owner of this process is asked directly. A transaction's
-        statements hold a connection, so the sooner they end the better.
+        An owner in this process is called directly. Statements in an open
+        transaction are not limited: the transaction holds a connection, and
+        delaying its statements would hold it longer.
         """
         if owner == self.name or job.open_transaction is not None:
             return None
         key = (owner, job.database.name)
         window = self.windows.get(key)
         if window is None:
-            most = int(self.ownership.config.limits.queue * QUEUE_SHARE)
-            window = self.windows[key] = windows.Window(max(1, most))
+            limit = int(self.ownership.config.limits.queue * QUEUE_SHARE)
+            window = self.windows[key] = windows.Window(max(1, limit))
         return window
 
     def _refuse_overload(self, window: windows.Window) -> outcomes.NotRun:
@@ -244,11 +250,11 @@
         kind: Kind,
         transaction: int,
     ) -> tuple[outcomes.Outcome, int]:
-        answered = asyncio.get_running_loop().create_future()
+        future = asyncio.get_running_loop().create_future()
 
         def answer(key: int, outcome: outcomes.Outcome) -> None:
-            if not answered.done():
-                answered.set_result((key, outcome))
+            if not future.done():
+                future.set_result((key, outcome))
 
         request = requests.Request(
             0,
@@ -263,10 +269,10 @@
             job.repeat,
         )
         self.ownership.submit(job.database.name, request, answer)
-        key, outcome = await answered
-        done = isinstance(outcome, outcomes.Done)
-        began = kind is Kind.BEGIN and done
-        return outcome, key if began else 0
+        key, outcome = await future
+        is_done = isinstance(outcome, outcomes.Done)
+        has_begun = kind is Kind.BEGIN and is_done
+        return outcome, key if has_begun else 0
 
     def _client_for(self, owner: str) -> hop.HopClient | None:
         member = self.knowledge.members.listed.get(owner)
@@ -280,23 +286,23 @@
         return client
 
     def _find_client(self, owner: str) -> hop.HopClient | None:
-        """Return the stream to an owner that left the list already."""
+        """Return a stream to an owner, also if it is no longer listed."""
         for (name, _), client in self.clients.items():
             if name == owner:
                 return client
         return None
 
-    def withdraw(self, database: str, bound: OpenTransaction) -> None:
-        """Roll back a transaction whose session ended."""
-        if bound.owner == self.name:
-            self.ownership.withdraw(database, bound.transaction)
+    def withdraw(self, database: str, transaction: OpenTransaction) -> None:
+        """Roll back a transaction whose session has ended."""
+        if transaction.owner == self.name:
+            self.ownership.withdraw(database, transaction.transaction)
             return
-        client = self._find_client(bound.owner)
+        client = self._find_client(transaction.owner)
         if client is not None:
-            client.withdraw(database, bound.transaction)
+            client.withdraw(database, transaction.transaction)
 
     def serve_hop(self, frame, answer) -> None:
-        """Serve another entry's frame as an owner."""
+        """Handle a frame from another entry in the role of an owner."""
         if isinstance(frame, hop.Withdraw):
             self.ownership.withdraw(frame.database, frame.transaction)
             return
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """Hold what a session is, and the furthest place it has seen."""
+    """Represent a session and the furthest log position it has seen."""
 
     organisation: str
     database: str
@@ -52,7 +52,7 @@
 
 
 class Frontend:
-    """Hold what all sessions of this proxy share."""
+    """Hold the state that all sessions of this proxy share."""
 
     def __init__(
         self,
@@ -69,29 +69,32 @@
         self.draining = False
 
     def drain(self) -> None:
-        """Take no new session, and ask the others to move.
+        """Refuse new sessions and ask the callers of open ones to move.
 
-        Closing them from here would cut off requests that are on their way
-        already. A caller that closes by itself has none.
+        Closing open sessions from here would lose requests that are already
+        in transit. A caller that closes its session itself has none.
         """
         self.draining = True
         for socket in list(self.sockets):
             sockets.write_if_open(socket, frames.LEAVING_FRAME)
 
     def close_idle_sessions(self, quiet_ms: int) -> None:
-        """End the sessions whose callers do not heed the notice."""
+        """Close sessions without open work whose callers ignore the notice.
+
+        Only sessions that sent nothing for `quiet_ms` are closed.
+        """
         now_ms = clock.monotonic_ms()
         for socket in list(self.sockets):
             if now_ms - socket.last_received_ms >= quiet_ms:
                 socket.close_if_idle()
 
     def busy(self) -> int:
-        """Return how many sessions have something open."""
+        """Return the number of sessions with requests or a transaction."""
         return sum(1 for socket in self.sockets if socket.is_busy())
 
 
 class SessionSocket(websocket.WebSocketHandler):
-    """Own one caller's connection."""
+    """Handle the WebSocket connection of one caller."""
 
     def initialize(self, front: Frontend) -> None:
         self.front = front
@@ -101,14 +104,14 @@
 
     def prepare(self) -> None:
         limit = self.front.config.limits.sessions
-        full = len(self.front.sockets) >= limit
-        if self.front.draining or full:
+        is_full = len(self.front.sockets) >= limit
+        if self.front.draining or is_full:
             self.set_header('Retry-After', '1')
             self.set_status(503)
             self.finish('leaving' if self.front.draining else 'full')
 
     def check_origin(self, origin: str) -> bool:
-        """Accept services of any origin: the key is what counts."""
+        """Accept any origin, since callers authenticate with a key."""
         return True
 
     def open(self) -> None:
@@ -125,14 +128,14 @@
             session.open_transaction = None
 
     def is_busy(self) -> bool:
-        """Say whether something of this session is open."""
+        """Return whether a request or a transaction is open."""
         session = self.session
         if session is None:
             return False
         return session.in_flight > 0 or session.open_transaction is not None
 
     def close_if_idle(self) -> None:
-        """End a session that has nothing open."""
+        """Close the session unless a request or a transaction is open."""
         if not self.is_busy():
             self.close(CLOSE_GOING_AWAY, 'leaving')
 
@@ -140,17 +143,20 @@
         self.last_received_ms = clock.monotonic_ms()
         limit = self.front.config.limits.message_bytes
         if len(raw) > limit:
-            large = outcomes.Rejected(
-                Reason.TOO_LARGE, f'{len(raw)} bytes, {limit} at most'
+            rejection = outcomes.Rejected(
+                Reason.TOO_LARGE,
+                f'message has {len(raw)} bytes, the limit is {limit}',
             )
             frame_id = frames.read_id(raw)
-            self._reply(frame_id, 'frame', large, self.last_received_ms)
+            self._reply(frame_id, 'frame', rejection, self.last_received_ms)
             return
         try:
             frame = frames.parse(raw)
         except frames.FrameError as error:
-            bad = outcomes.Rejected(Reason.BAD_FRAME, str(error))
-            self._reply(error.frame_id, 'frame', bad, clock.monotonic_ms())
+            rejection = outcomes.Rejected(Reason.BAD_FRAME, str(error))
+            self._reply(
+                error.frame_id, 'frame', rejection, clock.monotonic_ms()
+            )
             return
         if isinstance(frame, frames.Hello):
             self._handle_hello(frame)
@@ -187,25 +193,27 @@
         self, frame: frames.Hello
     ) -> outcomes.NotRun | outcomes.Rejected | None:
         if self.session is not None:
-            return outcomes.Rejected(Reason.BAD_FRAME, 'a second hello')
+            return outcomes.Rejected(
+                Reason.BAD_FRAME, 'the session is already open'
+            )
         if not self.front.knowledge.ready():
             return outcomes.NotRun(Reason.NO_CONFIGURATION, RETRY_MS)
-        known = self.front.knowledge.catalogue
-        organisation = known.organisations.get(frame.organisation)
-        given = catalogue.hash_key(frame.key)
-        expected = organisation.key_sha256 if organisation else ''
-        if not hmac.compare_digest(given, expected):
+        configured = self.front.knowledge.catalogue
+        organisation = configured.organisations.get(frame.organisation)
+        key_hash = catalogue.hash_key(frame.key)
+        expected_hash = organisation.key_sha256 if organisation else ''
+        if not hmac.compare_digest(key_hash, expected_hash):
             return outcomes.Rejected(
-                Reason.FORBIDDEN, 'no such organisation and key'
+                Reason.FORBIDDEN, 'unknown organisation or wrong key'
             )
-        database = known.database(frame.database)
+        database = configured.database(frame.database)
         if database is None or (
             frame.organisation not in database.organisations
         ):
-            # The same answer for both: whether a database exists is not
-            # for other organisations to know.
+            # Both cases get the same answer, which does not disclose to other
+            # organisations whether a database exists.
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, frame.database)
-        if frame.profile not in known.profiles:
+        if frame.profile not in configured.profiles:
             return outcomes.Rejected(Reason.UNKNOWN_PROFILE, frame.profile)
         place = log_positions.ORIGIN
         session = Session(
@@ -221,9 +229,12 @@
     def _merge_token(
         self, session: Session, token: str
     ) -> outcomes.Rejected | None:
-        """Have the session see at least what the token has seen."""
+        """Advance the session to the log position in the token.
+
+        Return a rejection if the token is not valid.
+        """
         try:
-            told = tokens.verify_token(
+            verified = tokens.verify_token(
                 token,
                 self.front.knowledge.catalogue.verifying_keys(),
                 session.organisation,
@@ -231,7 +242,7 @@
             )
         except tokens.TokenError as error:
             return outcomes.Rejected(Reason.BAD_TOKEN, str(error))
-        session.place = max(session.place, told.place())
+        session.place = max(session.place, verified.place())
         return None
 
     def _make_token(self) -> str:
@@ -261,10 +272,10 @@
         session = self.session
         session.in_flight += 1
         try:
-            outcome, bound = await self.front.entry.run(job)
+            outcome, transaction = await self.front.entry.run(job)
         finally:
             session.in_flight -= 1
-        self._update_transaction(kind, outcome, bound)
+        self._update_transaction(kind, outcome, transaction)
         token = ''
         if isinstance(outcome, outcomes.Done):
             session.place = max(session.place, outcome.place)
@@ -275,32 +286,34 @@
         self,
         kind: Kind,
         outcome: outcomes.Outcome,
-        bound: entries.OpenTransaction | None,
+        transaction: entries.OpenTransaction | None,
     ) -> None:
         session = self.session
-        if bound is not None:
+        if transaction is not None:
             if self.ws_connection is None:
-                # The caller left while its transaction began.
-                self.front.entry.withdraw(session.database, bound)
+                # The caller disconnected while BEGIN was in progress.
+                self.front.entry.withdraw(session.database, transaction)
                 return
-            session.open_transaction = bound
-        lost = getattr(outcome, 'reason', None) is Reason.TRANSACTION_LOST
-        ended = kind in (Kind.COMMIT, Kind.ROLLBACK)
-        if lost or ended:
+            session.open_transaction = transaction
+        is_lost = getattr(outcome, 'reason', None) is Reason.TRANSACTION_LOST
+        has_ended = kind in (Kind.COMMIT, Kind.ROLLBACK)
+        if is_lost or has_ended:
             session.open_transaction = None
 
     def _make_job(
         self, frame: frames.CallerFrame, kind: Kind, now_ms: int
     ) -> entries.Job | outcomes.Outcome:
-        """Return the job for a frame, or why there is none."""
+        """Return the job for a frame, or the outcome that refuses it."""
         session = self.session
         if session is None:
-            return outcomes.Rejected(Reason.BAD_FRAME, 'hello comes first')
-        known = self.front.knowledge.catalogue
-        database = known.database(session.database)
+            return outcomes.Rejected(
+                Reason.BAD_FRAME, 'the first frame must be hello'
+            )
+        configured = self.front.knowledge.catalogue
+        database = configured.database(session.database)
         if database is None:
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, session.database)
-        profile = known.profiles.get(session.profile)
+        profile = configured.profiles.get(session.profile)
         if profile is None:
             return outcomes.Rejected(Reason.UNKNOWN_PROFILE, session.profile)
         refusal = self._find_refusal(frame, kind)
@@ -326,23 +339,24 @@
         self, frame: frames.CallerFrame, kind: Kind
     ) -> outcomes.Outcome | None:
         session = self.session
-        most = self.front.config.limits.requests_a_session
-        if session.in_flight >= most:
+        limit = self.front.config.limits.requests_a_session
+        if session.in_flight >= limit:
             return outcomes.NotRun(Reason.OVERLOAD, RETRY_MS)
         request_id = getattr(frame, 'request_id', None)
         if request_id is not None and not request_ids.is_well_formed(
             request_id
         ):
             return outcomes.Rejected(
-                Reason.BAD_REQUEST_ID, 'want HEXMILLISECONDS-RANDOM'
+                Reason.BAD_REQUEST_ID,
+                'expected the form HEXMILLISECONDS-RANDOM',
             )
         if kind is Kind.BEGIN and session.open_transaction is not None:
             return outcomes.Rejected(
-                Reason.BAD_FRAME, 'a transaction is open already'
+                Reason.BAD_FRAME, 'a transaction is already open'
             )
         if kind in _NEEDS_TRANSACTION and session.open_transaction is None:
             if kind is Kind.COMMIT:
-                # Perhaps a second copy of a commit that took effect.
+                # May be a repeated COMMIT that has already taken effect.
                 return None
             return outcomes.Rejected(
                 Reason.NO_TRANSACTION, 'no transaction is open'
