--- a/topazring/catalogue.py
+++ b/topazring/catalogue.py
@@ -26,7 +26,7 @@
 ]
 
 PREFIX = 'configuration/'
-BUILT_KEPT = 512
+MAX_CACHED_DATABASES = 512
 
 _kinds: dict[str, type[pydantic.BaseModel]] = {}
 
@@ -146,24 +146,24 @@
     # they came, with their regions, and built when asked for.
     database_texts: dict[str, str] = dataclasses.field(default_factory=dict)
     regions: dict[str, str] = dataclasses.field(default_factory=dict)
-    built: collections.OrderedDict[str, Database] = dataclasses.field(
+    database_cache: collections.OrderedDict[str, Database] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     token_keys: dict[str, bytes] = dataclasses.field(default_factory=dict)
 
     def database(self, name: str) -> Database | None:
         """Return a database, built anew if it was not used lately."""
-        found = self.built.get(name)
+        found = self.database_cache.get(name)
         if found is not None:
-            self.built.move_to_end(name)
+            self.database_cache.move_to_end(name)
             return found
         text = self.database_texts.get(name)
         if text is None:
             return None
         found = _build('database', name, _parse('database', text))
-        self.built[name] = found
-        while len(self.built) > BUILT_KEPT:
-            self.built.popitem(last=False)
+        self.database_cache[name] = found
+        while len(self.database_cache) > MAX_CACHED_DATABASES:
+            self.database_cache.popitem(last=False)
         return found
 
     def verifying_keys(self) -> list[bytes]:
@@ -211,7 +211,7 @@
             faults.append(f'{change.key}: {error}')
             continue
         if kind == 'database':
-            catalogue.built.pop(name, None)
+            catalogue.database_cache.pop(name, None)
             catalogue.database_texts[name] = change.value
             catalogue.regions[name] = sys.intern(model.region)
         else:
@@ -229,7 +229,7 @@
     if kind != 'database':
         _table(catalogue, kind).pop(name, None)
         return
-    catalogue.built.pop(name, None)
+    catalogue.database_cache.pop(name, None)
     catalogue.database_texts.pop(name, None)
     catalogue.regions.pop(name, None)
 
--- a/topazring/client.py
+++ b/topazring/client.py
@@ -23,7 +23,7 @@
 
 __all__ = ['Answer', 'ConnectionLost', 'Session', 'new_request_id']
 
-CONNECT_S = 5.0
+CONNECT_TIMEOUT_S = 5.0
 
 
 class ConnectionLost(Exception):
@@ -87,7 +87,7 @@
         """Connect and open the session."""
         self.socket = await websocket.websocket_connect(
             self.url,
-            connect_timeout=CONNECT_S,
+            connect_timeout=CONNECT_TIMEOUT_S,
             on_message_callback=self._received,
         )
         frame = {'type': 'hello', **self.hello}
@@ -187,7 +187,7 @@
         answered = asyncio.get_running_loop().create_future()
         self.waiting[frame_id] = answered
         text = json.dumps({**frame, 'id': frame_id})
-        sockets.write_quietly(self.socket, text)
+        sockets.write_if_open(self.socket, text)
         return await answered
 
     def _received(self, raw: str | None) -> None:
--- a/topazring/key_value.py
+++ b/topazring/key_value.py
@@ -9,7 +9,7 @@
     'Changes',
     'Conflict',
     'Found',
-    'HistoryLost',
+    'HistoryCompacted',
     'Leased',
     'Missing',
     'Store',
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HistoryLost:
+class HistoryCompacted:
     """Report that the changes asked for are not kept any more."""
 
 
@@ -96,18 +96,18 @@
     ) -> Written | Conflict | Missing | Unavailable:
         """Write all values or none; Missing: the lease has ended."""
 
-    async def everything(self, prefix: str) -> Changes | Unavailable:
+    async def read_all(self, prefix: str) -> Changes | Unavailable:
         """Return all values under a prefix and the revision to go on from."""
 
     async def changes(
         self, prefix: str, since: int, wait_ms: int
-    ) -> Changes | HistoryLost | Unavailable:
+    ) -> Changes | HistoryCompacted | Unavailable:
         """Return what changed under a prefix, waiting for the first."""
 
     async def lease(self, ttl_ms: int) -> Leased | Unavailable:
         """Begin a lease."""
 
-    async def keep(self, lease: int) -> Leased | Missing | Unavailable:
+    async def renew_lease(self, lease: int) -> Leased | Missing | Unavailable:
         """Renew a lease."""
 
     async def end(self, lease: int) -> bool:
--- a/topazring/platform/caller_lines.py
+++ b/topazring/platform/caller_codec.py
@@ -4,7 +4,7 @@
 
 from topazring.core import outcomes
 from topazring.core.synchronous import statements
-from topazring.platform import lines
+from topazring.platform import line_protocol
 from topazring.pooler import ports
 
 __all__ = ['CallerCodec', 'parse_statement']
@@ -57,14 +57,14 @@
     """Split into fields; the last goes to the end of the line."""
     found = rest.split(' ', most - 1) if rest else []
     if len(found) < least or not all(found):
-        raise lines.BadLine('a field is missing')
+        raise line_protocol.LineError('a field is missing')
     return found
 
 
 @_verb('BEGIN')
 def _begin(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest not in ('', 'READ'):
-        raise lines.BadLine('BEGIN takes READ or nothing')
+        raise line_protocol.LineError('BEGIN takes READ or nothing')
     return statements.Statement(
         request_id, Verb.BEGIN, text, read_only=rest == 'READ'
     )
@@ -73,14 +73,14 @@
 @_verb('COMMIT')
 def _commit(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest:
-        raise lines.BadLine('COMMIT takes nothing')
+        raise line_protocol.LineError('COMMIT takes nothing')
     return statements.Statement(request_id, Verb.COMMIT, text)
 
 
 @_verb('ROLLBACK')
 def _rollback(request_id: str, text: str, rest: str) -> statements.Statement:
     if rest:
-        raise lines.BadLine('ROLLBACK takes nothing')
+        raise line_protocol.LineError('ROLLBACK takes nothing')
     return statements.Statement(request_id, Verb.ROLLBACK, text)
 
 
@@ -108,7 +108,7 @@
 def _prepare(request_id: str, text: str, rest: str) -> statements.Statement:
     name, access, shape = _fields(rest, 3, 3)
     if access not in ('READ', 'WRITE'):
-        raise lines.BadLine('PREPARE takes READ or WRITE')
+        raise line_protocol.LineError('PREPARE takes READ or WRITE')
     return statements.Statement(
         request_id,
         Verb.PREPARE,
@@ -138,7 +138,7 @@
     word, _, rest = text.partition(' ')
     parser = _verbs.get(word)
     if parser is None:
-        raise lines.BadLine('no such statement')
+        raise line_protocol.LineError('no such statement')
     return parser(request_id, text, rest)
 
 
@@ -146,24 +146,26 @@
     """Read what one caller sends."""
 
     def __init__(self, message_bytes: int):
-        self.splitter = lines.LineSplitter(message_bytes)
+        self.splitter = line_protocol.LineSplitter(message_bytes)
 
     def feed(self, data: bytes) -> list[ports.CallerItem]:
         """Return the messages that are complete now."""
         items = [self._read(line) for line in self.splitter.feed(data)]
-        if self.splitter.overflows():
+        if self.splitter.exceeds_limit():
             detail = 'the message is too long'
             items.append(ports.Fault(Reason.TOO_LARGE, detail, fatal=True))
         return items
 
     def _read(self, line: bytes) -> ports.CallerItem:
-        if len(line) > self.splitter.most_bytes:
+        if len(line) > self.splitter.max_line_bytes:
             detail = 'the message is too long'
             return ports.Fault(Reason.TOO_LARGE, detail, fatal=True)
         try:
-            word, rest = lines.read_line(line, self.splitter.most_bytes)
+            word, rest = line_protocol.parse_line(
+                line, self.splitter.max_line_bytes
+            )
             return _item(word, rest)
-        except lines.BadLine as error:
+        except line_protocol.LineError as error:
             return ports.Fault(Reason.BAD_STATEMENT, str(error))
 
 
@@ -171,7 +173,7 @@
     if word == 'QUERY':
         request_id, _, text = rest.partition(' ')
         if not request_id or not text or request_id == '-':
-            raise lines.BadLine('QUERY takes an id and a text')
+            raise line_protocol.LineError('QUERY takes an id and a text')
         return parse_statement(request_id, text)
     if word == 'START':
         # Who connects is not used: a session is the connection.
@@ -179,7 +181,7 @@
         return ports.StartSession(database)
     if word == 'QUIT' and not rest:
         return ports.Quit()
-    raise lines.BadLine('no such message')
+    raise line_protocol.LineError('no such message')
 
 
 class CallerCodec:
@@ -191,7 +193,7 @@
 
     def greeting(self) -> bytes:
         """Return the answer to a session's start."""
-        return lines.write_line('READY', 'I', '-')
+        return line_protocol.format_line('READY', 'I', '-')
 
     def refusal(self, outcome: outcomes.Outcome) -> bytes:
         """Return the answer to a session that is refused."""
@@ -199,11 +201,13 @@
 
     def answer(self, outcome: outcomes.Outcome, state: SessionState) -> bytes:
         """Return the answer to a statement and the session's state."""
-        ready = lines.write_line('READY', _STATES[state], '-')
+        ready = line_protocol.format_line('READY', _STATES[state], '-')
         if not isinstance(outcome, outcomes.Done):
             return _error(outcome) + ready
-        rows = b''.join(lines.write_line('ROW', row) for row in outcome.rows)
-        done = lines.write_line('DONE', outcome.signature or '-')
+        rows = b''.join(
+            line_protocol.format_line('ROW', row) for row in outcome.rows
+        )
+        done = line_protocol.format_line('DONE', outcome.signature or '-')
         return rows + done + ready
 
 
@@ -218,4 +222,4 @@
         case outcomes.Rejected():
             code = _REJECTED.get(outcome.reason, 'MALFORMED')
             text = outcome.detail or str(outcome.reason)
-    return lines.write_line('ERROR', code, text)
+    return line_protocol.format_line('ERROR', code, text)
--- a/topazring/platform/lines.py
+++ b/topazring/platform/line_protocol.py
@@ -6,21 +6,27 @@
 such a line is refused.
 """
 
-__all__ = ['BadLine', 'LineSplitter', 'MOST_BYTES', 'read_line', 'write_line']
+__all__ = [
+    'LineError',
+    'LineSplitter',
+    'MAX_LINE_BYTES',
+    'parse_line',
+    'format_line',
+]
 
-MOST_BYTES = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 _END = b'\r\n'
 
 
-class BadLine(ValueError):
+class LineError(ValueError):
     """Say what is wrong with a line."""
 
 
 class LineSplitter:
     """Cut bytes that come in any pieces into lines."""
 
-    def __init__(self, most_bytes: int = MOST_BYTES):
-        self.most_bytes = most_bytes
+    def __init__(self, most_bytes: int = MAX_LINE_BYTES):
+        self.max_line_bytes = most_bytes
         self.buffer = bytearray()
         # Where the end was looked for already.
         self.searched = 0
@@ -38,25 +44,27 @@
             del self.buffer[: end + len(_END)]
             self.searched = 0
 
-    def overflows(self) -> bool:
+    def exceeds_limit(self) -> bool:
         """Say whether the line that is under way is too long already."""
-        return len(self.buffer) > self.most_bytes
+        return len(self.buffer) > self.max_line_bytes
 
 
-def read_line(line: bytes, most_bytes: int = MOST_BYTES) -> tuple[str, str]:
+def parse_line(
+    line: bytes, most_bytes: int = MAX_LINE_BYTES
+) -> tuple[str, str]:
     """Return the word and the rest; raise BadLine if it is no line."""
     if len(line) > most_bytes:
-        raise BadLine('the message is too long')
+        raise LineError('the message is too long')
     if b'\r' in line or b'\n' in line or b'\0' in line:
-        raise BadLine('a control character inside a line')
+        raise LineError('a control character inside a line')
     try:
         text = line.decode('utf-8')
     except UnicodeDecodeError:
-        raise BadLine('not UTF-8') from None
+        raise LineError('not UTF-8') from None
     word, _, rest = text.partition(' ')
     return word, rest
 
 
-def write_line(*fields: str) -> bytes:
+def format_line(*fields: str) -> bytes:
     """Return a line of these fields; only the last may hold blanks."""
     return ' '.join(fields).encode() + _END
--- a/topazring/platform/main.py
+++ b/topazring/platform/main.py
@@ -4,11 +4,11 @@
 import os
 import sys
 
-from topazring.platform import caller_lines
+from topazring.platform import caller_codec
 from topazring.platform import orders
 from topazring.platform import records
 from topazring.platform import store
-from topazring.platform import upstream_lines
+from topazring.platform import upstream_codec
 from topazring.pooler import ports
 from topazring.pooler import process
 from topazring.pooler import settings
@@ -23,8 +23,8 @@
 def make_adapter(config: settings.PoolerSettings) -> ports.Adapter:
     """Return all that speaks to the platform."""
     return ports.Adapter(
-        caller_lines.CallerCodec(),
-        upstream_lines.UpstreamCodec(),
+        caller_codec.CallerCodec(),
+        upstream_codec.UpstreamCodec(),
         store.StoreClient(config.store_address),
         orders.OrdersClient(config.orders_address),
         records.decode,
--- a/topazring/platform/orders.py
+++ b/topazring/platform/orders.py
@@ -7,7 +7,7 @@
 
 # An order is answered in milliseconds; one that is not may still be carried
 # out later.
-ORDER_S = 0.2
+ORDER_TIMEOUT_S = 0.2
 _HOLDER = 'X-Topazring-Lease-Holder'
 _TOKEN = 'X-Topazring-Fencing-Token'
 
@@ -33,9 +33,9 @@
             f'{self.base}/promote',
             {'service': service, 'id': upstream},
             {_HOLDER: holder, _TOKEN: str(token)},
-            ORDER_S,
+            ORDER_TIMEOUT_S,
         )
-        if isinstance(reply, http_calls.NoAnswer):
+        if isinstance(reply, http_calls.NoResponse):
             return messages.OrderResult.UNANSWERED
         if reply.code == 409:
             return messages.OrderResult.REFUSED
--- a/topazring/platform/store.py
+++ b/topazring/platform/store.py
@@ -15,10 +15,10 @@
 
 # A watch may answer somewhat later than it was asked to.
 WATCH_SLACK_S = 0.6
-MOST_PAGES = 200
+MAX_PAGES = 200
 # A renewal is answered in milliseconds. After a longer wait the next one is
 # due, which may still come in time where this one was swallowed.
-KEEP_S = 0.5
+RENEWAL_TIMEOUT_S = 0.5
 
 
 class _Item(msgspec.Struct):
@@ -111,7 +111,7 @@
         written = msgspec.json.decode(reply.body, type=_Revision)
         return key_value.Written(written.revision)
 
-    async def everything(
+    async def read_all(
         self, prefix: str
     ) -> key_value.Changes | key_value.Unavailable:
         """Return all values under a prefix.
@@ -122,7 +122,7 @@
         found: list[revisions.Change] = []
         first: int | None = None
         after = ''
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = {'path-prefix': prefix}
             if after:
                 query['after'] = after
@@ -140,7 +140,9 @@
 
     async def changes(
         self, prefix: str, since: int, wait_ms: int
-    ) -> key_value.Changes | key_value.HistoryLost | key_value.Unavailable:
+    ) -> (
+        key_value.Changes | key_value.HistoryCompacted | key_value.Unavailable
+    ):
         """Return what changed under a prefix, waiting for the first."""
         query = urllib.parse.urlencode(
             {'path-prefix': prefix, 'after': since, 'wait-ms': wait_ms}
@@ -152,7 +154,7 @@
         if isinstance(reply, key_value.Unavailable):
             return reply
         if reply.code == 410:
-            return key_value.HistoryLost()
+            return key_value.HistoryCompacted()
         page = msgspec.json.decode(reply.body, type=_Events)
         found = [_change(item) for item in page.events]
         return key_value.Changes(since, page.current_rev, found)
@@ -167,12 +169,12 @@
         lease = msgspec.json.decode(reply.body, type=_Lease)
         return key_value.Leased(lease.lease, lease.ttl_ms)
 
-    async def keep(
+    async def renew_lease(
         self, lease: int
     ) -> key_value.Leased | key_value.Missing | key_value.Unavailable:
         """Renew a lease."""
         path = f'/-/kv-keep/{lease}'
-        reply = await self._call('POST', path, timeout_s=KEEP_S)
+        reply = await self._call('POST', path, timeout_s=RENEWAL_TIMEOUT_S)
         if isinstance(reply, key_value.Unavailable):
             return reply
         if reply.code == 404:
@@ -190,13 +192,13 @@
         method: str,
         path: str,
         body: dict | None = None,
-        timeout_s: float = http_calls.REQUEST_S,
+        timeout_s: float = http_calls.REQUEST_TIMEOUT_S,
     ) -> httpclient.HTTPResponse | key_value.Unavailable:
         self.calls[path.split('?')[0]] += 1
         reply = await http_calls.call(
             self.client, method, self.base + path, body, timeout_s=timeout_s
         )
-        if isinstance(reply, http_calls.NoAnswer):
+        if isinstance(reply, http_calls.NoResponse):
             return key_value.Unavailable(reply.detail)
         if reply.code not in (200, 404, 410, 412):
             return key_value.Unavailable(f'HTTP {reply.code}')
--- a/topazring/platform/tests/fake_store.py
+++ b/topazring/platform/tests/fake_store.py
@@ -21,15 +21,15 @@
         self.next_lease = 100
         self.changed = asyncio.Condition()
         # Answer everything with this code while it is set.
-        self.failing = 0
+        self.failure_code = 0
         # The same for those who come by one port.
-        self.failing_ports: dict[int, int] = {}
+        self.failure_codes_by_port: dict[int, int] = {}
         # Let answers wait for so long.
         self.slow_s = 0.0
         # Take calls and never answer them, also not when this is over.
-        self.swallowing = False
+        self.is_unresponsive = False
         # Carry writes out and never answer them.
-        self.losing_answers = False
+        self.loses_responses = False
         self.calls: list[str] = []
         self.orders: list[dict] = []
         # Called with service and upstream of an accepted order.
@@ -94,7 +94,7 @@
             if item['lease'] == lease:
                 await self.put(key, None)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history: watches from before get 410."""
         self.history.clear()
         self.history_from = self.revision
@@ -108,12 +108,14 @@
     async def prepare(self) -> None:
         """Count the call, and fail it while the store does."""
         self.store.calls.append(f'{self.request.method} {self.request.path}')
-        if self.store.swallowing:
+        if self.store.is_unresponsive:
             await asyncio.sleep(3600)
         if self.store.slow_s:
             await asyncio.sleep(self.store.slow_s)
         port = int(self.request.host.rpartition(':')[2])
-        code = self.store.failing or self.store.failing_ports.get(port)
+        code = self.store.failure_code or self.store.failure_codes_by_port.get(
+            port
+        )
         if code:
             self.set_status(code)
             self.finish()
@@ -124,7 +126,7 @@
 
     async def answer(self, body: dict) -> None:
         """Answer, unless answers are to be lost."""
-        if self.store.losing_answers:
+        if self.store.loses_responses:
             await asyncio.sleep(30)
         self.write(body)
 
@@ -189,7 +191,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s), store.changed:
                 await store.changed.wait_for(events)
-            if store.swallowing:
+            if store.is_unresponsive:
                 await asyncio.sleep(3600)
         self.write({'events': events(), 'current-rev': store.revision})
 
--- a/topazring/platform/tests/fake_upstreams.py
+++ b/topazring/platform/tests/fake_upstreams.py
@@ -23,7 +23,7 @@
     log: list[tuple[str, str]] = dataclasses.field(default_factory=list)
     # The term of its last commit; a new primary's own is the first of its.
     log_term: int = 1
-    held: int = 0
+    paused_for_term: int = 0
     # Closes without an answer once a write was carried out.
     loses_answers: bool = False
     # How long a read takes, or waits for a slot.
@@ -98,7 +98,7 @@
         for member in self.members:
             member.role = 'replica'
             member.term = term
-            member.held = 0
+            member.paused_for_term = 0
             member.log = list(chosen.log)
             member.log_term = chosen.log_term
         chosen.role = 'primary'
@@ -221,7 +221,7 @@
 
     def _append(self, writes) -> None:
         for member in self.group.members:
-            if not member.held:
+            if not member.paused_for_term:
                 member.log.extend(writes)
                 member.log_term = self.member.term
 
@@ -262,16 +262,16 @@
 
     def _status(self, session, request_id, rest):
         member = self.member
-        row = f'{member.role} {member.term} {self._place()} {member.held}'
+        row = f'{member.role} {member.term} {self._place()} {member.paused_for_term}'
         return [f'ROW {row} 0 0 {len(self.streams)}', 'DONE -']
 
     def _pause(self, session, request_id, rest):
         if self.member.role == 'replica':
-            self.member.held = int(rest[0])
+            self.member.paused_for_term = int(rest[0])
         return self._status(session, request_id, rest)
 
     def _resume(self, session, request_id, rest):
-        self.member.held = 0
+        self.member.paused_for_term = 0
         self.member.log = list(self.group.primary().log)
         self.member.log_term = self.group.primary().log_term
         return self._status(session, request_id, rest)
--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -19,12 +19,12 @@
 
 HOST = '127.0.0.1'
 LEASE_TICK_S = 0.05
-POLL_S = 1.0
-MISSES = 2
-PROBE_S = 0.25
-ANSWERS_S = 0.8
-CONNECT_S = 2.0
-SLOW_S = 0.25
+POLL_INTERVAL_S = 1.0
+MAX_FAILED_PROBES = 2
+PROBE_INTERVAL_S = 0.25
+PROBE_TIMEOUT_S = 0.8
+CONNECT_TIMEOUT_S = 2.0
+SLOW_DELAY_S = 0.25
 _PROMISES = ('BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'TOOMANY')
 _UNKNOWN = ('UNKNOWN', 'TIMEOUT', 'FAILED')
 Mode = link_faults.Mode
@@ -59,7 +59,7 @@
     @property
     def is_away(self) -> bool:
         """Say whether nobody is served."""
-        return bool(self.failing) or self.swallowing
+        return bool(self.failure_code) or self.is_unresponsive
 
     async def end_leases(self) -> None:
         """End each lease in its time, for ever."""
@@ -75,20 +75,20 @@
 
     def trouble(self, how: str, choice: float, ports: list[int]) -> None:
         """Be in trouble; `well` ends it."""
-        self.failing = 503 if how == 'down' else 0
-        self.swallowing = how == 'silent'
-        self.slow_s = SLOW_S if how == 'slow' else 0.0
-        self.losing_answers = how == 'loses answers'
+        self.failure_code = 503 if how == 'down' else 0
+        self.is_unresponsive = how == 'silent'
+        self.slow_s = SLOW_DELAY_S if how == 'slow' else 0.0
+        self.loses_responses = how == 'loses answers'
         self.pausing = choice < 0.5
-        self.failing_ports.clear()
+        self.failure_codes_by_port.clear()
         if how == 'forgets':
-            self.forget_history()
+            self.compact_history()
         if how == 'turns away':
             code = (503, 429)[int(choice * 10) % 2]
-            self.failing_ports[ports[int(choice * len(ports))]] = code
+            self.failure_codes_by_port[ports[int(choice * len(ports))]] = code
 
 
-class Talk(support.Caller):
+class SessionClient(support.Caller):
     """Speak one session, and hear what nobody asked for."""
 
     def __init__(self, reader, writer):
@@ -250,7 +250,9 @@
 
     # ---- callers ----
 
-    async def connect(self, instance: support.Proxy, database: str) -> Talk:
+    async def connect(
+        self, instance: support.Proxy, database: str
+    ) -> SessionClient:
         """Start a session; raise Ended if it is refused."""
         talk, said = await self._greet(instance, database)
         if said.startswith('READY'):
@@ -260,11 +262,11 @@
 
     async def _greet(
         self, instance: support.Proxy, database: str
-    ) -> tuple[Talk, str]:
+    ) -> tuple[SessionClient, str]:
         talk = None
         try:
-            async with asyncio.timeout(CONNECT_S):
-                talk = Talk(
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                talk = SessionClient(
                     *await asyncio.open_connection(HOST, instance.caller_port)
                 )
                 said = await talk.ask(f'START {database} me', 'READY', 'ERROR')
@@ -280,12 +282,12 @@
         while True:
             ready = False
             with contextlib.suppress(OSError):
-                async with asyncio.timeout(ANSWERS_S):
+                async with asyncio.timeout(PROBE_TIMEOUT_S):
                     ready = await proxy.is_ready()
             misses = 0 if ready else misses + 1
             if ready and proxy not in self.rotation:
                 self.rotation.append(proxy)
-            elif misses >= MISSES and proxy in self.rotation:
+            elif misses >= MAX_FAILED_PROBES and proxy in self.rotation:
                 self.rotation.remove(proxy)
             code = proxy.process.returncode
             if code is not None and code not in checks.ORDERLY:
@@ -293,7 +295,7 @@
                 note(sightings.Exited(now, proxy.name, code))
                 note(sightings.Started(now, proxy.name))
                 await proxy.restart()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # ---- the operator ----
 
@@ -335,7 +337,7 @@
                 for proxy in self.instances
                 for version in versions
             ]
-            await asyncio.gather(*asking, asyncio.sleep(PROBE_S))
+            await asyncio.gather(*asking, asyncio.sleep(PROBE_INTERVAL_S))
 
     async def _probe(self, proxy: support.Proxy, version: int) -> None:
         """Ask an instance for a database that only a version has."""
--- a/topazring/platform/tests/soak_upstreams.py
+++ b/topazring/platform/tests/soak_upstreams.py
@@ -10,15 +10,15 @@
 from topazring.soak import stages
 
 UPSTREAMS = 3
-MOST_MEMBERS = 6
+MAX_MEMBERS = 6
 # An upstream says that it drains this long after its successor is listed.
-SUCCEEDS_S = 0.4
+DRAIN_DELAY_S = 0.4
 DRAIN_S = 7.2
 # It goes on for many seconds at the most, if it still leads.
-STAYS_S = 15.0
+MAX_STAY_S = 15.0
 RETRY_S = 0.3
 # Three heartbeats of an upstream.
-LAPSE_S = 3.0
+ENTRY_TIMEOUT_S = 3.0
 Member = synchronous_upstreams.Member
 
 
@@ -56,7 +56,7 @@
         key = f'servers/{member.name}'
         if not member.listed and key in self.store.items:
             await self.store.put(key, None)
-        elif member.listed and not member.dark:
+        elif member.listed and not member.is_down:
             state = 'draining' if member.leaving else 'ready'
             more = {'state': state, 'born': member.born_ms}
             address = f'127.0.0.1:{door}'
@@ -117,24 +117,24 @@
     async def _release(self, choice: float, unlisted_ms: float) -> None:
         """Have a new replica start, be listed late, and an old one leave."""
         staying = self._listed(leaving=False)
-        if len(self.group.members) >= MOST_MEMBERS or not staying:
+        if len(self.group.members) >= MAX_MEMBERS or not staying:
             return
         old = staying[int(choice * len(staying))]
-        new = self.group.come(ports.free())
+        new = self.group.add_replica(ports.free())
         await asyncio.sleep(unlisted_ms / 1000)
         await self._list(new)
-        await asyncio.sleep(SUCCEEDS_S)
+        await asyncio.sleep(DRAIN_DELAY_S)
         if old.leaving or old not in self.group.members:
             return
         old.leaving = True
         await self._list(old)
         self.note(sightings.Leaves(stages.now_ms(), old.name))
         await asyncio.sleep(DRAIN_S)
-        async with asyncio.timeout(STAYS_S):
+        async with asyncio.timeout(MAX_STAY_S):
             while (
                 old.role == 'primary'
-                or old.dark
-                or not self.group.is_spare(old)
+                or old.is_down
+                or not self.group.is_replicated_elsewhere(old)
             ):
                 await asyncio.sleep(RETRY_S)
         self.group.end(old)
@@ -147,7 +147,7 @@
         for turn in range(2 + int(choice * 10) % 2):
             one = self._release((choice + turn * 0.37) % 1, gap_ms)
             releasing.append(asyncio.create_task(one))
-            await asyncio.sleep(SUCCEEDS_S + gap_ms / 1000)
+            await asyncio.sleep(DRAIN_DELAY_S + gap_ms / 1000)
         await asyncio.gather(*releasing)
 
     async def _release_beside_deaf(
@@ -171,27 +171,27 @@
 
         Nothing may go with it that cannot be had from anyone else.
         """
-        if any(each.dark for each in self.group.members):
+        if any(each.is_down for each in self.group.members):
             return
-        if empty and not self.group.is_spare(member):
+        if empty and not self.group.is_replicated_elsewhere(member):
             return
         self.group.crash(member.name)
         if empty:
             member.log, member.applied = [], 0
-        await asyncio.sleep(min(for_ms / 1000, LAPSE_S))
-        if for_ms / 1000 > LAPSE_S:
+        await asyncio.sleep(min(for_ms / 1000, ENTRY_TIMEOUT_S))
+        if for_ms / 1000 > ENTRY_TIMEOUT_S:
             await self._list(member, listed=False)
-            await asyncio.sleep(for_ms / 1000 - LAPSE_S)
-        self.group.back(member, empty)
+            await asyncio.sleep(for_ms / 1000 - ENTRY_TIMEOUT_S)
+        self.group.restart_member(member, empty)
         await self._list(member)
 
     async def _silence(self, member: Member, for_ms: int) -> None:
-        if any(each.dark for each in self.group.members):
+        if any(each.is_down for each in self.group.members):
             return
-        member.dark = True
+        member.is_down = True
         self.links.trouble(member.name, 'no way')
         await asyncio.sleep(for_ms / 1000)
-        member.dark = False
+        member.is_down = False
         self.links.mend(member.name)
         self._changed(member)
 
--- a/topazring/platform/tests/support.py
+++ b/topazring/platform/tests/support.py
@@ -19,7 +19,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
 SERVICE = 'calc-db'
-STARTS_S = 15.0
+STARTUP_TIMEOUT_S = 15.0
 
 # The fake store is asked many times a second, and fails on purpose.
 logging.getLogger('tornado.access').setLevel(logging.CRITICAL)
@@ -119,7 +119,7 @@
         """Start the process and wait until it is ready."""
         await self.restart()
         try:
-            await wait_until(self.is_ready, STARTS_S)
+            await wait_until(self.is_ready, STARTUP_TIMEOUT_S)
         except TimeoutError:
             raise AssertionError(f'{self.name} is not ready') from None
 
@@ -192,7 +192,7 @@
     # What an upstream takes from all proxies together.
     max_connections = 23
 
-    def on_platform(self, steps, proxies: int = 1) -> None:
+    def run_on_platform(self, steps, proxies: int = 1) -> None:
         """Run `steps(self)` with everything started."""
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(self._run(steps, proxies, folder))
--- a/topazring/platform/tests/synchronous_upstreams.py
+++ b/topazring/platform/tests/synchronous_upstreams.py
@@ -22,7 +22,7 @@
 # once it can.
 STEP_DOWN_MS = 1000
 TICK_S = 0.03
-MOST_DELAY_MS = 6.0
+MAX_DELAY_MS = 6.0
 BUSY_SHARE = 0.005
 
 
@@ -41,12 +41,12 @@
     lag_ms: float = 10.0
     deaf_until_ms: float = 0.0
     # Its process or machine is gone, its log is not.
-    dark: bool = False
+    is_down: bool = False
     listed: bool = False
     leaving: bool = False
     born_ms: int = 1
     # Since when a replaced primary could learn that it is.
-    outdated_ms: float | None = None
+    superseded_since_ms: float | None = None
     # Term, number and waiter of each commit that no replica received yet.
     waiting: list[tuple[int, int, asyncio.Future]] = dataclasses.field(
         default_factory=list
@@ -120,14 +120,14 @@
                     self._step_down(member)
             await asyncio.sleep(TICK_S)
 
-    def later(self, after_ms: float, step, *arguments) -> None:
+    def call_after(self, after_ms: float, step, *arguments) -> None:
         """Do something after a while."""
         loop = asyncio.get_running_loop()
         loop.call_later(after_ms / 1000, step, *arguments)
 
     def delay_ms(self) -> float:
         """Return how long a message between members takes."""
-        return self.rng.uniform(0.5, MOST_DELAY_MS)
+        return self.rng.uniform(0.5, MAX_DELAY_MS)
 
     def replicate(self, primary: Member) -> None:
         """Send the log to all others."""
@@ -136,17 +136,19 @@
             if member is not primary and (
                 behind or member.term < primary.term
             ):
-                self.later(self.delay_ms(), self._receive, primary, member)
+                self.call_after(
+                    self.delay_ms(), self._receive, primary, member
+                )
 
     def is_cut(self, one: Member, other: Member) -> bool:
         """Say whether two members do not reach each other."""
         pair = frozenset((one.name, other.name))
-        return one.dark or other.dark or pair in self.cut_pairs
+        return one.is_down or other.is_down or pair in self.cut_pairs
 
     def _receive(self, primary: Member, member: Member) -> None:
         if primary.role != 'primary' or member.role == 'primary':
             return
-        if member.held or member not in self.members:
+        if member.paused_for_term or member not in self.members:
             return
         if now_ms() < member.deaf_until_ms or self.is_cut(primary, member):
             return
@@ -155,12 +157,14 @@
         same = member.term == primary.term
         if same and len(member.log) >= len(primary.log):
             return
-        self.cut_back(member, primary)
+        self.truncate_log(member, primary)
         member.term = primary.term
         member.log.extend(primary.log[len(member.log) :])
         received = len(member.log)
-        self.later(self.delay_ms(), self._confirm, primary, received)
-        self.later(member.lag_ms, self._apply, member, member.log, received)
+        self.call_after(self.delay_ms(), self._confirm, primary, received)
+        self.call_after(
+            member.lag_ms, self._apply, member, member.log, received
+        )
 
     def _follows_newer(self, member: Member, primary: Member) -> bool:
         return any(
@@ -175,7 +179,7 @@
             member.applied = max(member.applied, min(upto, len(log)))
 
     def _confirm(self, primary: Member, upto: int) -> None:
-        if primary.role != 'primary' or primary.dark:
+        if primary.role != 'primary' or primary.is_down:
             return
         left = []
         for term, number, waiter in primary.waiting:
@@ -185,7 +189,7 @@
                 waiter.set_result(True)
         primary.waiting = left
 
-    def cut_back(self, other: Member, primary: Member) -> None:
+    def truncate_log(self, other: Member, primary: Member) -> None:
         """Roll a member back to what it shares with its primary."""
         shared = min(len(other.log), len(primary.log))
         while shared and other.log[shared - 1] is not primary.log[shared - 1]:
@@ -228,15 +232,17 @@
     def promote(self, service: str, name: str) -> bool:
         """Have a member lead the next term, some hundred ms later."""
         member = self.member(name)
-        if member is None or member.dark or service != self.service:
+        if member is None or member.is_down or service != self.service:
             return False
         if member.role != 'primary':
-            self.later(self.promote_ms, self._lead, member, member.born_ms)
+            self.call_after(
+                self.promote_ms, self._lead, member, member.born_ms
+            )
         return True
 
     def _lead(self, member: Member, born_ms: int) -> None:
         gone = member not in self.members or member.born_ms != born_ms
-        if gone or member.dark or member.role == 'primary':
+        if gone or member.is_down or member.role == 'primary':
             return
         self.term += 1
         led = sightings.Led(now_ms(), member.name, self.term, member.log)
@@ -247,12 +253,12 @@
             if other.role == 'primary':
                 self._replace(other, member)
             elif not self.is_cut(other, member):
-                self.cut_back(other, member)
-                other.held = 0
+                self.truncate_log(other, member)
+                other.paused_for_term = 0
                 other.term = self.term
         member.role = 'primary'
         member.term = self.term
-        member.held = 0
+        member.paused_for_term = 0
         member.applied = len(member.log)
         self.changed(member)
         self.replicate(member)
@@ -260,14 +266,14 @@
     def _replace(self, old: Member, successor: Member) -> None:
         if self.is_cut(old, successor):
             # It goes on until it learns of its successor.
-            old.outdated_ms = None
+            old.superseded_since_ms = None
             return
         self.become_replica(old)
 
     def become_replica(self, old: Member) -> None:
         """End a lead; nothing that waits is confirmed any more."""
         old.role = 'replica'
-        old.outdated_ms = None
+        old.superseded_since_ms = None
         self._fail_waiting(old)
         self.changed(old)
 
@@ -276,15 +282,15 @@
         if newest is old or newest.term <= old.term:
             return
         if self.is_cut(old, newest):
-            old.outdated_ms = None
-        elif old.outdated_ms is None:
-            old.outdated_ms = now_ms()
-        elif now_ms() - old.outdated_ms >= STEP_DOWN_MS:
+            old.superseded_since_ms = None
+        elif old.superseded_since_ms is None:
+            old.superseded_since_ms = now_ms()
+        elif now_ms() - old.superseded_since_ms >= STEP_DOWN_MS:
             self.become_replica(old)
 
     # ---- coming and going ----
 
-    def come(self, port: int) -> Member:
+    def add_replica(self, port: int) -> Member:
         """Start a new replica, which nobody has heard of."""
         name = f'i-{port}'
         member = Member(name, port, 'replica', term=0, born_ms=_wall_ms())
@@ -301,15 +307,15 @@
     def crash(self, name: str) -> None:
         """End one upstream with its connections."""
         member = self.member(name)
-        member.dark = True
+        member.is_down = True
         self._fail_waiting(member)
         if name in self.servers:
             super().crash(name)
 
-    def back(self, member: Member, empty: bool = False) -> None:
+    def restart_member(self, member: Member, empty: bool = False) -> None:
         """Start a crashed member again, with its log or without."""
-        member.dark = False
-        member.held = 0
+        member.is_down = False
+        member.paused_for_term = 0
         if empty:
             member.log, member.applied, member.term = [], 0, 0
             member.role = 'replica'
@@ -319,12 +325,12 @@
         self.listen(member)
         self.changed(member)
 
-    def is_spare(self, member: Member) -> bool:
+    def is_replicated_elsewhere(self, member: Member) -> bool:
         """Say whether another that stays holds all that a member does."""
         return any(
             other is not member
             and other.listed
-            and not (other.dark or other.leaving)
+            and not (other.is_down or other.leaving)
             and len(other.log) >= len(member.log)
             and other.term >= member.term
             for other in self.members
@@ -435,17 +441,19 @@
     def _status(self, session, request_id, rest):
         member = self.member
         received = member.place(len(member.log))
-        row = f'{member.role} {member.term} {received} {member.held}'
+        row = (
+            f'{member.role} {member.term} {received} {member.paused_for_term}'
+        )
         return [f'ROW {row} 0 0 {len(self.streams)}', 'DONE -']
 
     def _pause(self, session, request_id, rest):
         term = int(rest[0])
         if self.member.role == 'replica' and term > self.member.term:
-            self.member.held = term
+            self.member.paused_for_term = term
         return self._status(session, request_id, rest)
 
     def _resume(self, session, request_id, rest):
-        self.member.held = 0
+        self.member.paused_for_term = 0
         return self._status(session, request_id, rest)
 
     def _demote(self, session, request_id, rest):
--- a/topazring/platform/tests/test_caller.py
+++ b/topazring/platform/tests/test_caller.py
@@ -9,7 +9,7 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core.synchronous import messages
-from topazring.platform import caller_lines
+from topazring.platform import caller_codec
 from topazring.plumbing import events
 from topazring.pooler import caller_task
 
@@ -28,7 +28,7 @@
     """Hold what a session needs of its process, and play its group."""
 
     def __init__(self):
-        self.codec = caller_lines.CallerCodec()
+        self.codec = caller_codec.CallerCodec()
         self.log = events.EventLog('test')
         self.shutdown_phase = caller_task.ShutdownPhase.RUNNING
         self.keys = 0
--- a/topazring/platform/tests/test_lines.py
+++ b/topazring/platform/tests/test_line_protocol.py
@@ -7,9 +7,9 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core.synchronous import statements
-from topazring.platform import caller_lines
-from topazring.platform import lines
-from topazring.platform import upstream_lines
+from topazring.platform import caller_codec
+from topazring.platform import line_protocol
+from topazring.platform import upstream_codec
 from topazring.pooler import ports
 
 Code = statements.Code
@@ -38,13 +38,13 @@
 
     def read(self, data: bytes, most: int = 1000) -> list[ports.CallerItem]:
         """Read it in one piece."""
-        return caller_lines.CallerCodec().reader(most).feed(data)
+        return caller_codec.CallerCodec().reader(most).feed(data)
 
     @hypothesis.settings(derandomize=True, max_examples=150)
     @hypothesis.given(strategies.lists(strategies.integers(0, len(SAID))))
     def test_any_pieces(self, cuts):
         """The pieces do not matter."""
-        reader = caller_lines.CallerCodec().reader(1000)
+        reader = caller_codec.CallerCodec().reader(1000)
         items = []
         for piece in pieces_of(SAID, cuts):
             items += reader.feed(piece)
@@ -112,7 +112,7 @@
 
     def answer(self, outcome, state=SessionState.IDLE) -> bytes:
         """Write an answer."""
-        return caller_lines.CallerCodec().answer(outcome, state)
+        return caller_codec.CallerCodec().answer(outcome, state)
 
     def test_answers(self):
         """Rows and signature are the upstream's own."""
@@ -141,7 +141,7 @@
     def test_commands(self):
         """Callers' statements keep their id and text."""
         place = log_positions.LogPosition(3, 1207)
-        written = upstream_lines.UpstreamCodec().encode(
+        written = upstream_codec.UpstreamCodec().encode(
             (
                 statements.Begin(),
                 statements.Begin(read_only=True, after=place),
@@ -163,7 +163,7 @@
 
     def test_every_command_can_be_written(self):
         """None is forgotten."""
-        known = set(upstream_lines._commands)
+        known = set(upstream_codec._commands)
         self.assertEqual(set(statements.Command.__args__), known)
 
     @hypothesis.settings(derandomize=True, max_examples=150)
@@ -176,7 +176,7 @@
             b'ERROR READONLY i-7f\r\nREADY E -\r\n'
             b'ROW replica 3 3.1209 4 12 2 17\r\nDONE -\r\nREADY I 3.1\r\n'
         )
-        reader = upstream_lines.UpstreamCodec().reader()
+        reader = upstream_codec.UpstreamCodec().reader()
         replies = []
         for piece in pieces_of(said, cuts):
             replies += reader.feed(piece)
@@ -192,7 +192,7 @@
 
     def test_refused_greeting(self):
         """No state follows it."""
-        reader = upstream_lines.UpstreamCodec().reader()
+        reader = upstream_codec.UpstreamCodec().reader()
         (reply,) = reader.feed(b'ERROR MISROUTED\r\n')
         self.assertEqual(Code.WRONG_UPSTREAM, reply.code)
 
@@ -203,13 +203,15 @@
         Sequence: an answer is cut off before its end. Cause: taking what
         came for all.
         """
-        reader = upstream_lines.UpstreamCodec().reader()
+        reader = upstream_codec.UpstreamCodec().reader()
         reader.feed(b'READY I 1.1\r\n')
         self.assertEqual([], reader.feed(b'ROW a\r\nROW b\r\n'))
-        self.assertRaises(lines.BadLine, reader.feed, b'READY I 1.1\r\n')
+        self.assertRaises(
+            line_protocol.LineError, reader.feed, b'READY I 1.1\r\n'
+        )
 
     def test_nonsense(self):
         """The connection is given up."""
         for said in (b'HELLO\r\n', b'READY X 1.1\r\n', b'READY I x.y\r\n'):
-            reader = upstream_lines.UpstreamCodec().reader()
+            reader = upstream_codec.UpstreamCodec().reader()
             self.assertRaises(ValueError, reader.feed, said)
--- a/topazring/platform/tests/test_owners.py
+++ b/topazring/platform/tests/test_owners.py
@@ -55,7 +55,7 @@
         store ended as the last proxy entered, and told the revision without
         the event (see `test_fake_store`).
         """
-        self.on_platform(self.every_proxy, PROXIES)
+        self.run_on_platform(self.every_proxy, PROXIES)
 
     async def every_proxy(self):
         callers = [await self.session('own', n) for n in range(PROXIES)]
@@ -84,7 +84,7 @@
         Symptom: callers wait for seconds after a proxy was lost that they
         never talked to. Cause: waiting for the list to tell.
         """
-        self.on_platform(self.killed_owner, PROXIES)
+        self.run_on_platform(self.killed_owner, PROXIES)
 
     async def killed_owner(self):
         callers = [await self.session('own', n) for n in range(PROXIES)]
@@ -98,7 +98,7 @@
 
     def test_owner_that_leaves(self):
         """What it serves for others is answered before it ends."""
-        self.on_platform(self.leaving_owner, PROXIES)
+        self.run_on_platform(self.leaving_owner, PROXIES)
 
     async def leaving_owner(self):
         callers = [await self.session('own', n) for n in range(PROXIES)]
@@ -126,7 +126,7 @@
         was told to stop at 27.6 s, took the read at 31.6 s and closed at
         33.2 s; the owner sent the read to its upstream at 33.4 s.
         """
-        self.on_platform(self.leaving_beside_a_slow_owner, PROXIES)
+        self.run_on_platform(self.leaving_beside_a_slow_owner, PROXIES)
 
     async def leaving_beside_a_slow_owner(self):
         callers = [await self.session('own', n) for n in range(PROXIES)]
--- a/topazring/platform/tests/test_store.py
+++ b/topazring/platform/tests/test_store.py
@@ -24,7 +24,7 @@
         comes after the lease has ended. Cause: a lease too short for two
         renewals and one wait.
         """
-        needed_s = 2 * duties.RENEW_INTERVAL_S + store.KEEP_S
+        needed_s = 2 * duties.RENEW_INTERVAL_S + store.RENEWAL_TIMEOUT_S
         self.assertLess(needed_s, duties.TTL_MS / 1000)
 
 
--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -115,7 +115,7 @@
         self.assertEqual(['primary'] * 2, [old.role, new.role])
         caller = await self.connect(0)
         self.assertTrue(await self.hangs(caller, 'WRITE k v'))
-        newcomer = self.group.come(ports.free())
+        newcomer = self.group.add_replica(ports.free())
         self.group.cut_pairs.add(frozenset((new.name, newcomer.name)))
         said = await caller.answer()
         self.assertTrue(said[0].startswith('DONE'), said)
--- a/topazring/platform/tests/test_whole_path.py
+++ b/topazring/platform/tests/test_whole_path.py
@@ -15,7 +15,7 @@
 
     def test_sessions(self):
         """Every statement is answered as the protocol says."""
-        self.on_platform(self.sessions)
+        self.run_on_platform(self.sessions)
 
     async def sessions(self):
         caller = await self.session('own')
@@ -40,7 +40,7 @@
 
     def test_bad_input(self):
         """A clear error, and nobody else is harmed."""
-        self.on_platform(self.bad_input)
+        self.run_on_platform(self.bad_input)
 
     async def bad_input(self):
         good = await self.session('exact')
@@ -63,7 +63,7 @@
         thousand connections come and say nothing. Cause: taking connections
         until there is no descriptor left.
         """
-        self.on_platform(self.too_many)
+        self.run_on_platform(self.too_many)
 
     async def too_many(self):
         callers = [await self.session('own') for _ in range(20)]
@@ -77,7 +77,7 @@
 
     def test_lost_answer_of_a_write(self):
         """It is unknown, and it is not sent again."""
-        self.on_platform(self.lost_answer)
+        self.run_on_platform(self.lost_answer)
 
     async def lost_answer(self):
         caller = await self.session('exact')
@@ -90,7 +90,7 @@
 
     def test_lost_primary(self):
         """Another is promoted, and nothing acknowledged is lost."""
-        self.on_platform(self.lost_primary, proxies=2)
+        self.run_on_platform(self.lost_primary, proxies=2)
 
     async def lost_primary(self):
         caller = await self.session('own')
@@ -110,17 +110,17 @@
 
     async def nobody_is_paused(self) -> bool:
         """Say whether every replica receives."""
-        return not any(member.held for member in self.group.members)
+        return not any(member.paused_for_term for member in self.group.members)
 
     def test_configuration(self):
         """It is in force soon, also after the history was lost."""
-        self.on_platform(self.configuration)
+        self.run_on_platform(self.configuration)
 
     async def configuration(self):
         await self.configure(5, support.route('late', 'primary'))
         await support.wait_until(lambda: self.is_served('late'))
         self.assertFalse(await self.is_served('exact'))
-        self.store.forget_history()
+        self.store.compact_history()
         await self.configure(9, support.route('later', 'primary'))
         await support.wait_until(lambda: self.is_served('later'))
 
@@ -137,20 +137,20 @@
         Sequence: the store fails for a while. Cause: asking it for what is
         known.
         """
-        self.on_platform(self.store_away)
+        self.run_on_platform(self.store_away)
 
     async def store_away(self):
-        self.store.failing = 503
+        self.store.failure_code = 503
         caller = await self.session('own')
         said = await caller.query('WRITE k v')
         self.assertTrue(said[0].startswith('DONE'), said)
         proxy = self.proxies[0]
         await proxy.stop(signal.SIGKILL)
         starting = asyncio.ensure_future(proxy.start())
-        await support.wait_until(proxy.is_listening, support.STARTS_S)
+        await support.wait_until(proxy.is_listening, support.STARTUP_TIMEOUT_S)
         await asyncio.sleep(0.5)
         self.assertIn('503', await proxy.get('/-/ready'))
-        self.store.failing = 0
+        self.store.failure_code = 0
         await starting
         self.assertTrue(await self.is_served('own'))
 
@@ -163,14 +163,14 @@
         answered, its connection lives; the configuration changes. Cause: the
         first call after an outage was a long watch.
         """
-        self.on_platform(self.swallows)
+        self.run_on_platform(self.swallows)
 
     async def swallows(self):
-        self.store.swallowing = True
+        self.store.is_unresponsive = True
         # The watch under way is woken, and its answer swallowed.
         await self.configure(5, support.route('lost', 'primary'))
         await asyncio.sleep(4.5)
-        self.store.swallowing = False
+        self.store.is_unresponsive = False
         await self.configure(9, support.route('late', 'primary'))
         await support.wait_until(lambda: self.is_served('late'), 2.0)
 
@@ -182,11 +182,11 @@
         turns others away; one of those restarts; the configuration changes.
         Cause: knowing only what the store tells oneself.
         """
-        self.on_platform(self.turned_away, proxies=2)
+        self.run_on_platform(self.turned_away, proxies=2)
 
     async def turned_away(self):
         first, second = self.proxies
-        self.store.failing_ports[second.store_port] = 503
+        self.store.failure_codes_by_port[second.store_port] = 503
         await second.stop(signal.SIGKILL)
         await second.start()
         caller = await self.session('own', proxy=1)
@@ -203,7 +203,7 @@
         before it has read its configuration. Cause: refusing what will be
         known in a moment.
         """
-        self.on_platform(self.comes_at_once)
+        self.run_on_platform(self.comes_at_once)
 
     async def comes_at_once(self):
         proxy = self.proxies[0]
@@ -220,7 +220,7 @@
 
     def test_graceful_stop(self):
         """No request is cut, idle sessions end, the exit code is 0."""
-        self.on_platform(self.graceful_stop)
+        self.run_on_platform(self.graceful_stop)
 
     async def graceful_stop(self):
         proxy = self.proxies[0]
@@ -241,7 +241,7 @@
 
         Writes go on all the while.
         """
-        self.on_platform(self.leaving_upstream)
+        self.run_on_platform(self.leaving_upstream)
 
     async def leaving_upstream(self):
         caller = await self.session('own')
@@ -264,7 +264,7 @@
         one gains the duty at 11.8 s, and no promotion is considered up to
         the end at 39 s.
         """
-        self.on_platform(self.nobody_leads)
+        self.run_on_platform(self.nobody_leads)
 
     async def nobody_leads(self):
         proxy = self.proxies[0]
@@ -296,7 +296,7 @@
 
     def test_log_and_metrics(self):
         """They explain a refusal, and hold nobody's data."""
-        self.on_platform(self.log_and_metrics)
+        self.run_on_platform(self.log_and_metrics)
 
     async def log_and_metrics(self):
         proxy = self.proxies[0]
@@ -326,7 +326,7 @@
 
     def test_settings(self):
         """A fault is told in one line with the field's name."""
-        self.on_platform(self.settings)
+        self.run_on_platform(self.settings)
 
     async def settings(self):
         proxy = self.proxies[0]
--- a/topazring/platform/upstream_lines.py
+++ b/topazring/platform/upstream_codec.py
@@ -4,9 +4,9 @@
 
 from topazring.core import log_positions
 from topazring.core.synchronous import statements
-from topazring.platform import lines
+from topazring.platform import line_protocol
 
-__all__ = ['UpstreamCodec', 'parse_place']
+__all__ = ['UpstreamCodec', 'parse_log_position']
 
 Code = statements.Code
 SessionState = statements.SessionState
@@ -114,7 +114,7 @@
     return _OWN_ID, f'DEMOTE {command.term}'
 
 
-def parse_place(text: str) -> log_positions.LogPosition | None:
+def parse_log_position(text: str) -> log_positions.LogPosition | None:
     """Return TERM.NUMBER as a place, None for `-`; ValueError otherwise."""
     if text == '-':
         return None
@@ -126,7 +126,7 @@
     """Read one connection's replies, the greeting first."""
 
     def __init__(self):
-        self.splitter = lines.LineSplitter()
+        self.splitter = line_protocol.LineSplitter()
         self.greeted = False
         self._clear()
 
@@ -140,11 +140,11 @@
         """Return complete replies; ValueError if it is no reply."""
         replies = []
         for line in self.splitter.feed(data):
-            word, rest = lines.read_line(line)
+            word, rest = line_protocol.parse_line(line)
             if self._take(word, rest):
                 replies.append(self._reply(rest))
-        if self.splitter.overflows():
-            raise lines.BadLine('the message is too long')
+        if self.splitter.exceeds_limit():
+            raise line_protocol.LineError('the message is too long')
         return replies
 
     def _take(self, word: str, rest: str) -> bool:
@@ -162,7 +162,7 @@
             case 'READY':
                 return True
             case _:
-                raise lines.BadLine(f'no such reply: {word[:20]}')
+                raise line_protocol.LineError(f'no such reply: {word[:20]}')
         return False
 
     def _reply(self, rest: str) -> statements.Reply:
@@ -172,10 +172,10 @@
         if not (first and self.code is not None):
             word, _, at = rest.partition(' ')
             if word not in _STATES:
-                raise lines.BadLine(f'no such state: {word[:20]}')
-            state, place = _STATES[word], parse_place(at or '-')
+                raise line_protocol.LineError(f'no such state: {word[:20]}')
+            state, place = _STATES[word], parse_log_position(at or '-')
         if not first and self.signature is None and self.code is None:
-            raise lines.BadLine('an answer without its end')
+            raise line_protocol.LineError('an answer without its end')
         reply = statements.Reply(
             tuple(self.rows),
             self.signature,
@@ -199,7 +199,7 @@
     return statements.StatusReport(
         statements.Role(role),
         int(term),
-        parse_place(received) or log_positions.ORIGIN,
+        parse_log_position(received) or log_positions.ORIGIN,
         int(held),
         int(float(lag)),
         int(busy),
@@ -212,12 +212,14 @@
 
     def hello(self, service: str, upstream: str) -> bytes:
         """Return what opens a connection to just this upstream."""
-        return lines.write_line('START', service, _WHO, upstream)
+        return line_protocol.format_line('START', service, _WHO, upstream)
 
     def encode(self, commands: tuple[statements.Command, ...]) -> bytes:
         """Return commands as they go out, in one piece."""
         return b''.join(
-            lines.write_line('QUERY', *_commands[type(command)](command))
+            line_protocol.format_line(
+                'QUERY', *_commands[type(command)](command)
+            )
             for command in commands
         )
 
--- a/topazring/platform_client.py
+++ b/topazring/platform_client.py
@@ -12,7 +12,7 @@
 
 __all__ = ['PlatformClient']
 
-REQUEST_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 
 
 class _Page(msgspec.Struct):
@@ -130,8 +130,8 @@
                 method=method,
                 body=body,
                 headers={'X-Caller': self.caller, **(headers or {})},
-                connect_timeout=REQUEST_S,
-                request_timeout=REQUEST_S + wait_ms / 1000,
+                connect_timeout=REQUEST_TIMEOUT_S,
+                request_timeout=REQUEST_TIMEOUT_S + wait_ms / 1000,
                 raise_error=False,
             )
         except (OSError, httpclient.HTTPError) as error:
--- a/topazring/plumbing/clock.py
+++ b/topazring/plumbing/clock.py
@@ -2,7 +2,7 @@
 
 import time
 
-__all__ = ['monotonic_ms', 'suspended_ms', 'wall_ms']
+__all__ = ['monotonic_ms', 'boottime_ms', 'wall_ms']
 
 
 def monotonic_ms() -> int:
@@ -15,7 +15,7 @@
     return time.time_ns() // 1_000_000
 
 
-def suspended_ms() -> int:
+def boottime_ms() -> int:
     """Return milliseconds that go on while the instance is suspended.
 
     A lease or an age that is measured by a clock that stands still with the
--- a/topazring/plumbing/events.py
+++ b/topazring/plumbing/events.py
@@ -24,11 +24,11 @@
 from absl import logging as absl_logging
 import msgspec
 
-__all__ = ['BUFFER_BYTES', 'EventLog', 'LINES_A_SECOND']
+__all__ = ['BUFFER_BYTES', 'EventLog', 'MAX_LINES_PER_SECOND']
 
 # A line costs some 30 microseconds; at this rate under one percent of a
 # core, and a day's incident is told by far fewer.
-LINES_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 BURST_LINES = 400
 BUFFER_BYTES = 256 * 1024
 
@@ -118,7 +118,7 @@
 
     def _allowed(self) -> bool:
         now_s = time.monotonic()
-        earned = (now_s - self.refilled_s) * LINES_A_SECOND
+        earned = (now_s - self.refilled_s) * MAX_LINES_PER_SECOND
         self.allowance = min(BURST_LINES, self.allowance + earned)
         self.refilled_s = now_s
         if self.allowance < 1:
--- a/topazring/plumbing/framing.py
+++ b/topazring/plumbing/framing.py
@@ -5,12 +5,12 @@
 import msgspec
 from tornado import iostream
 
-__all__ = ['Ping', 'Pong', 'Reader', 'read', 'write']
+__all__ = ['Ping', 'Pong', 'FrameReader', 'read_frame', 'write_frame']
 
 _LENGTH = struct.Struct('>I')
 # A caller's message and what its session set, several times over.
-MOST_FRAME_BYTES = 8_000_000
-READ_BYTES = 65536
+MAX_FRAME_BYTES = 8_000_000
+READ_CHUNK_BYTES = 65536
 
 
 class Ping(msgspec.Struct, array_like=True, tag='p'):
@@ -21,15 +21,15 @@
     """Give a sign of life."""
 
 
-async def read(stream: iostream.IOStream) -> bytes:
+async def read_frame(stream: iostream.IOStream) -> bytes:
     """Return the next frame's body; ValueError if it is too long."""
     (length,) = _LENGTH.unpack(await stream.read_bytes(_LENGTH.size))
-    if length > MOST_FRAME_BYTES:
+    if length > MAX_FRAME_BYTES:
         raise ValueError('the frame is too long')
     return await stream.read_bytes(length)
 
 
-class Reader:
+class FrameReader:
     """Read a stream's frames, as many as come at once in one go.
 
     Waiting for a length and then for a body would cost two waits a frame.
@@ -48,7 +48,7 @@
             if body is not None:
                 return body
             self.buffer += await self.stream.read_bytes(
-                READ_BYTES, partial=True
+                READ_CHUNK_BYTES, partial=True
             )
 
     def _cut(self) -> bytes | None:
@@ -56,7 +56,7 @@
         begin = self.taken + _LENGTH.size
         if len(self.buffer) >= begin:
             (length,) = _LENGTH.unpack_from(self.buffer, self.taken)
-            if length > MOST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 raise ValueError('the frame is too long')
             end = begin + length
             if len(self.buffer) >= end:
@@ -67,7 +67,7 @@
         return None
 
 
-def write(stream: iostream.IOStream, body: bytes) -> bool:
+def write_frame(stream: iostream.IOStream, body: bytes) -> bool:
     """Send a frame; False if the stream is closed.
 
     What fails later is seen by whoever reads from the stream.
--- a/topazring/plumbing/http_calls.py
+++ b/topazring/plumbing/http_calls.py
@@ -9,15 +9,21 @@
 
 from topazring.plumbing import dialling
 
-__all__ = ['NoAnswer', 'REQUEST_S', 'answer', 'call', 'make_client']
+__all__ = [
+    'NoResponse',
+    'REQUEST_TIMEOUT_S',
+    'send_response',
+    'call',
+    'make_client',
+]
 
 # Services answer in milliseconds; a slow one in some hundred.
-REQUEST_S = 1.0
-MOST_CALLS = 50
+REQUEST_TIMEOUT_S = 1.0
+MAX_CONCURRENT_CALLS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoAnswer:
+class NoResponse:
     """Report that there was no response; the call may have had its effect."""
 
     detail: str
@@ -26,13 +32,13 @@
 def make_client() -> httpclient.AsyncHTTPClient:
     """Return a client whose connections notice that their peer is gone."""
     client = simple_httpclient.SimpleAsyncHTTPClient(
-        force_instance=True, max_clients=MOST_CALLS
+        force_instance=True, max_clients=MAX_CONCURRENT_CALLS
     )
     client.tcp_client = dialling.KeepaliveClient()
     return client
 
 
-def answer(
+def send_response(
     request: httputil.HTTPServerRequest, code: int, body: bytes
 ) -> None:
     """Send the whole answer to a request."""
@@ -48,8 +54,8 @@
     url: str,
     body: dict | None = None,
     headers: dict[str, str] | None = None,
-    timeout_s: float = REQUEST_S,
-) -> httpclient.HTTPResponse | NoAnswer:
+    timeout_s: float = REQUEST_TIMEOUT_S,
+) -> httpclient.HTTPResponse | NoResponse:
     """Return a response, whatever its code, or that there was none."""
     raw = None
     if method == 'POST':
@@ -65,7 +71,7 @@
             raise_error=False,
         )
     except (OSError, httpclient.HTTPError) as error:
-        return NoAnswer(str(error))
+        return NoResponse(str(error))
     if reply.code == 599:
-        return NoAnswer(str(reply.error))
+        return NoResponse(str(reply.error))
     return reply
--- a/topazring/plumbing/sockets.py
+++ b/topazring/plumbing/sockets.py
@@ -2,10 +2,10 @@
 
 from tornado import websocket
 
-__all__ = ['write_quietly']
+__all__ = ['write_if_open']
 
 
-def write_quietly(socket, raw: str | bytes, binary: bool = False) -> bool:
+def write_if_open(socket, raw: str | bytes, binary: bool = False) -> bool:
     """Write a frame; False if the socket is known to be closed.
 
     A write can also fail later. Whoever waits for an answer finds out by
--- a/topazring/plumbing/tests/test_framing.py
+++ b/topazring/plumbing/tests/test_framing.py
@@ -30,8 +30,8 @@
 
         async def steps(near, far):
             for body in (b'one', b'', b'three'):
-                self.assertTrue(framing.write(near, body))
-            read = [await framing.read(far) for _ in range(3)]
+                self.assertTrue(framing.write_frame(near, body))
+            read = [await framing.read_frame(far) for _ in range(3)]
             self.assertEqual([b'one', b'', b'three'], read)
 
         self.play(steps)
@@ -45,7 +45,7 @@
                 for body in (b'one', b'', b'x' * 100_000, b'last')
             )
             near.write(frames[:-5])
-            reader = framing.Reader(far)
+            reader = framing.FrameReader(far)
             self.assertEqual(b'one', await reader.read())
             self.assertEqual(b'', await reader.read())
             self.assertEqual(b'x' * 100_000, await reader.read())
@@ -62,7 +62,7 @@
 
         async def steps(near, far):
             near.write(b'\0\0\0\3one\xff\xff\xff\xff')
-            reader = framing.Reader(far)
+            reader = framing.FrameReader(far)
             self.assertEqual(b'one', await reader.read())
             with testtools.ExpectedException(ValueError, '.*too long'):
                 await reader.read()
@@ -75,7 +75,7 @@
         async def steps(near, far):
             await near.write(b'\xff\xff\xff\xff')
             try:
-                await framing.read(far)
+                await framing.read_frame(far)
             except ValueError as error:
                 self.assertIn('too long', str(error))
             else:
@@ -88,6 +88,6 @@
 
         async def steps(near, far):
             near.close()
-            self.assertFalse(framing.write(near, b'one'))
+            self.assertFalse(framing.write_frame(near, b'one'))
 
         self.play(steps)
--- a/topazring/pooler/caller_task.py
+++ b/topazring/pooler/caller_task.py
@@ -98,8 +98,8 @@
         self.pending: collections.deque[ports.CallerItem] = collections.deque()
         self.session: sessions.Session | None = None
         self.busy = False
-        self.still_since_ms = clock.suspended_ms()
-        dialling.keep_alive(stream.socket)
+        self.still_since_ms = clock.boottime_ms()
+        dialling.enable_keepalive(stream.socket)
 
     async def serve(self) -> None:
         """Serve until the caller or this process ends the session."""
@@ -112,7 +112,7 @@
                 if not await self._take(item):
                     break
                 self.busy = False
-                self.still_since_ms = clock.suspended_ms()
+                self.still_since_ms = clock.boottime_ms()
         except iostream.StreamClosedError:
             # The caller left; what it had open is undone below.
             pass
@@ -132,7 +132,7 @@
         """Say whether the session may be closed without cutting anything."""
         if self.busy or self.pending:
             return False
-        still_ms = clock.suspended_ms() - self.still_since_ms
+        still_ms = clock.boottime_ms() - self.still_since_ms
         match self.host.shutdown_phase:
             case ShutdownPhase.RUNNING:
                 return False
@@ -255,7 +255,7 @@
             self.host.note(str(statement.verb), refusal, 0)
             await self._answer(refusal)
             return True
-        began_ms = clock.suspended_ms()
+        began_ms = clock.boottime_ms()
         open_before = session.transaction
         taken = sessions.handle_statement(
             session,
@@ -271,7 +271,7 @@
         else:
             outcome = await self.host.run(taken)
             sessions.record_outcome(session, taken, outcome)
-        took_ms = clock.suspended_ms() - began_ms
+        took_ms = clock.boottime_ms() - began_ms
         self.host.note(str(statement.verb), outcome, took_ms)
         await self._answer(outcome)
         return True
--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -120,7 +120,7 @@
         if wait_ms:
             await self._wait_for_news(after, wait_ms)
         seen = self.known.seen
-        age_ms = max(0, clock.suspended_ms() - self.confirmed_ms)
+        age_ms = max(0, clock.boottime_ms() - self.confirmed_ms)
         complete, changes = revisions.missing_changes(self.known, after)
         return peers.PeerAnswer(seen, complete, changes, self.follows, age_ms)
 
@@ -142,7 +142,7 @@
 
     async def _follow_forever(self) -> None:
         failures = 0
-        began_ms = clock.suspended_ms()
+        began_ms = clock.boottime_ms()
         while True:
             answer = await self._ask()
             if isinstance(
@@ -150,10 +150,10 @@
             ):
                 failures = 0
                 self._back(answer)
-                if clock.suspended_ms() - began_ms < STARTUP_S * 1000:
+                if clock.boottime_ms() - began_ms < STARTUP_S * 1000:
                     await asyncio.sleep(STARTUP_BATCH_S)
                 continue
-            if isinstance(answer, key_value.HistoryLost):
+            if isinstance(answer, key_value.HistoryCompacted):
                 self.log.emit(
                     'directory',
                     'history lost',
@@ -208,8 +208,8 @@
         return self.follower_client.watch_ms(self.listing.proxies.values())
 
     async def _read_everything(self):
-        asked_ms = clock.suspended_ms()
-        answer = await self.adapter.store.everything(ALL_KEYS_PREFIX)
+        asked_ms = clock.boottime_ms()
+        answer = await self.adapter.store.read_all(ALL_KEYS_PREFIX)
         if isinstance(answer, key_value.Changes):
             self.history_lost = False
             self._take_all(answer.changes, answer.upto)
@@ -219,7 +219,7 @@
                 inputs={
                     'entries': len(answer.changes),
                     'revision': answer.upto,
-                    'took_ms': clock.suspended_ms() - asked_ms,
+                    'took_ms': clock.boottime_ms() - asked_ms,
                 },
             )
         return answer
@@ -241,7 +241,7 @@
     async def _read_now(self) -> bool:
         """Read what is new without waiting; say whether it is known."""
         answer = await self._read_changes(0)
-        if isinstance(answer, key_value.HistoryLost):
+        if isinstance(answer, key_value.HistoryCompacted):
             answer = await self._read_everything()
         return isinstance(answer, key_value.Changes)
 
@@ -292,7 +292,7 @@
 
     def _away(self, answer: key_value.Unavailable) -> None:
         if self.unavailable_since_ms is None:
-            self.unavailable_since_ms = clock.suspended_ms()
+            self.unavailable_since_ms = clock.boottime_ms()
             # Who waits here for news has to hear another.
             self._tell_news()
             self.log.emit(
@@ -302,7 +302,7 @@
     def _back(
         self, answer: key_value.Changes | follower_client.FollowerAnswer
     ) -> None:
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if self.unavailable_since_ms is not None:
             away_ms = now_ms - self.unavailable_since_ms
             self.unavailable_since_ms = None
@@ -326,7 +326,7 @@
     def _take(self, changes: list[revisions.Change], upto: int) -> None:
         new = revisions.merge(self.known, self.known.seen, upto, changes)
         self.first_read.set()
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         services: set[str] = set()
         for change in new or ():
             services |= self._take_one(now_ms, change)
@@ -395,7 +395,7 @@
     async def _expire_forever(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             self._tell(
                 listings.remove_expired(
                     self.listing, now_ms, self.unavailable_since_ms
--- a/topazring/pooler/follower_client.py
+++ b/topazring/pooler/follower_client.py
@@ -64,7 +64,7 @@
         addresses = self._addresses(proxies)
         names = addresses.keys() | {self.name}
         while True:
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             source = followers.choose_follower(
                 self.hearing, now_ms, self.name, names
             )
@@ -111,7 +111,7 @@
         return told.follows and told.age_ms <= self.wait_ms + AGE_SLACK_MS
 
     def _pass_over(self, source: str, told: peers.PeerAnswer | None) -> None:
-        followers.record_failure(self.hearing, clock.suspended_ms(), source)
+        followers.record_failure(self.hearing, clock.boottime_ms(), source)
         inputs = {'follower': source, 'answered': told is not None}
         if told is not None:
             inputs |= {'follows': told.follows, 'age_ms': told.age_ms}
--- a/topazring/pooler/group_task.py
+++ b/topazring/pooler/group_task.py
@@ -119,7 +119,7 @@
     def _take(self, message: object) -> None:
         try:
             for out in self.kind.step(
-                self.state, clock.suspended_ms(), message
+                self.state, clock.boottime_ms(), message
             ):
                 self._perform(out)
         except Exception as error:
@@ -131,7 +131,7 @@
         The process serves other groups, whose callers' sessions would be cut
         with it: of ten groups the other nine lose nothing.
         """
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         self._tell_broken(error)
         full = len(self.restarts_ms) == MAX_RESTARTS
         if full and now_ms - self.restarts_ms[0] < RESTART_WINDOW_MS:
@@ -225,11 +225,11 @@
         self.post(messages.UpstreamListRead(out.token, told))
 
     async def _tick_forever(self) -> None:
-        before_ms = clock.suspended_ms()
+        before_ms = clock.boottime_ms()
         while True:
             period_ms = groups_synchronous.tick_interval_ms(self.state)
             await asyncio.sleep(period_ms / 1000)
-            now_ms = clock.suspended_ms()
+            now_ms = clock.boottime_ms()
             paused_ms = now_ms - before_ms - period_ms
             before_ms = now_ms
             self.post(messages.Tick(max(0, paused_ms)))
--- a/topazring/pooler/hop.py
+++ b/topazring/pooler/hop.py
@@ -83,10 +83,10 @@
         answer = asyncio.get_running_loop().create_future()
         if not self.asked:
             # Silence counts from the first question on.
-            self.heard_ms = clock.suspended_ms()
+            self.heard_ms = clock.boottime_ms()
         self.asked[number] = answer
         self.in_use.set()
-        left_ms = deadline_ms - clock.suspended_ms() - RETURN_MARGIN_MS
+        left_ms = deadline_ms - clock.boottime_ms() - RETURN_MARGIN_MS
         hop_frames.write(
             stream, hop_frames.RequestFrame(number, left_ms, request)
         )
@@ -94,7 +94,7 @@
         if isinstance(told, forwarding.LinkLost):
             return told
         outcome, load.waiting = told
-        load.reported_ms = clock.suspended_ms()
+        load.reported_ms = clock.boottime_ms()
         return outcome
 
     def withdraw(self, service: str, transaction: int) -> None:
@@ -123,7 +123,7 @@
         finally:
             self.opening = None
         self.stream = stream
-        self.heard_ms = clock.suspended_ms()
+        self.heard_ms = clock.boottime_ms()
         for work in (self._read_forever(stream), self._watch(stream)):
             task = asyncio.create_task(work)
             self.tasks.add(task)
@@ -131,11 +131,11 @@
         return stream
 
     async def _read_forever(self, stream: iostream.IOStream) -> None:
-        reader = framing.Reader(stream)
+        reader = framing.FrameReader(stream)
         try:
             while True:
                 frame = await hop_frames.read(reader)
-                self.heard_ms = clock.suspended_ms()
+                self.heard_ms = clock.boottime_ms()
                 if isinstance(frame, hop_frames.AnswerFrame):
                     self._take(frame)
         except (OSError, iostream.StreamClosedError, ValueError):
@@ -165,7 +165,7 @@
             if not self.asked:
                 self.in_use.clear()
                 continue
-            silent_ms = clock.suspended_ms() - self.heard_ms
+            silent_ms = clock.boottime_ms() - self.heard_ms
             if silent_ms >= SILENCE_TIMEOUT_MS:
                 stream.close()
             elif silent_ms >= PING_AFTER_MS:
--- a/topazring/pooler/hop_frames.py
+++ b/topazring/pooler/hop_frames.py
@@ -106,11 +106,11 @@
     raise ValueError(f'no such outcome: {told.kind[:20]}')
 
 
-async def read(reader: framing.Reader) -> Frame:
+async def read(reader: framing.FrameReader) -> Frame:
     """Return the next frame; ValueError if it is none."""
     return _decode(await reader.read())
 
 
 def write(stream: iostream.IOStream, frame: Frame) -> None:
     """Send a frame; whoever reads notices if the stream has ended."""
-    framing.write(stream, _encode(frame))
+    framing.write_frame(stream, _encode(frame))
--- a/topazring/pooler/hop_server.py
+++ b/topazring/pooler/hop_server.py
@@ -73,10 +73,10 @@
         self, stream: iostream.IOStream, address: tuple
     ) -> None:
         """Serve one proxy until its stream ends; undo what it left open."""
-        dialling.keep_alive(stream.socket)
+        dialling.enable_keepalive(stream.socket)
         entry = _PeerStream(self.host, stream)
         self.peer_streams[stream] = entry
-        reader = framing.Reader(stream)
+        reader = framing.FrameReader(stream)
         try:
             while True:
                 entry.handle_frame(await hop_frames.read(reader))
@@ -160,7 +160,7 @@
             ask.request,
             key=self.host.next_key(),
             policy=policy,
-            arrived_ms=clock.suspended_ms(),
+            arrived_ms=clock.boottime_ms(),
             transaction=transaction,
         )
 
--- a/topazring/pooler/membership.py
+++ b/topazring/pooler/membership.py
@@ -62,7 +62,7 @@
                 await self._enter()
             await asyncio.sleep(RENEW_INTERVAL_S if self.lease else RETRY_S)
             if self.lease:
-                answer = await self.store.keep(self.lease)
+                answer = await self.store.renew_lease(self.lease)
                 if isinstance(answer, key_value.Missing):
                     self.lease = 0
 
--- a/topazring/pooler/peers.py
+++ b/topazring/pooler/peers.py
@@ -123,7 +123,7 @@
                 int(after), min(int(wait_ms), MAX_WAIT_MS)
             )
             code, body = 200, self._pack(int(after), told)
-        http_calls.answer(request, code, body)
+        http_calls.send_response(request, code, body)
 
     def _pack(self, after: int, told: PeerAnswer) -> bytes:
         question = (after, told.revision)
@@ -170,7 +170,7 @@
         reply = await http_calls.call(
             self.client, 'GET', url, timeout_s=timeout_s
         )
-        if isinstance(reply, http_calls.NoAnswer) or reply.code != 200:
+        if isinstance(reply, http_calls.NoResponse) or reply.code != 200:
             return None
         try:
             return _unpack(reply.body)
--- a/topazring/pooler/probes.py
+++ b/topazring/pooler/probes.py
@@ -46,7 +46,7 @@
 
     def _answer(self, request: httputil.HTTPServerRequest) -> None:
         page = self._page(request.path)
-        http_calls.answer(request, page.code, page.body)
+        http_calls.send_response(request, page.code, page.body)
 
     def _page(self, path: str) -> Page:
         if path == metric_sets.PATH:
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -213,7 +213,7 @@
 
     def _changed(self, services: set[str]) -> None:
         listing = self.directory.listing
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         configuration = listing.configuration
         if configuration is None:
             return
--- a/topazring/pooler/promotion_lease.py
+++ b/topazring/pooler/promotion_lease.py
@@ -113,7 +113,7 @@
         """Give the duty up, and leave it to others for a while."""
         if not self.holds:
             return
-        self.yielded_ms = clock.suspended_ms()
+        self.yielded_ms = clock.boottime_ms()
         lease, self.lease = self.lease, 0
         self._lose(why)
         if lease:
@@ -191,7 +191,7 @@
                 await self._changed()
 
     def _is_free(self) -> bool:
-        if clock.suspended_ms() - self.yielded_ms < YIELD_PAUSE_MS:
+        if clock.boottime_ms() - self.yielded_ms < YIELD_PAUSE_MS:
             return False
         known = self.directory.known.seen > 0
         return known and self.directory.own_value(LEASE_KEY) is None
@@ -213,7 +213,7 @@
         await asyncio.sleep(pause_s)
         if not self._is_free():
             return
-        asked_ms = clock.suspended_ms()
+        asked_ms = clock.boottime_ms()
         leased = await self.store.lease(TTL_MS)
         if not isinstance(leased, key_value.Leased):
             await asyncio.sleep(RETRY_S)
@@ -269,14 +269,14 @@
         if successor:
             self._give_up(f'{successor} holds it')
             return
-        asked_ms = clock.suspended_ms()
-        answer = await self.store.keep(self.lease)
+        asked_ms = clock.boottime_ms()
+        answer = await self.store.renew_lease(self.lease)
         if isinstance(answer, key_value.Leased):
             self.valid_until_ms = asked_ms + TTL_MS
         elif isinstance(answer, key_value.Missing):
             self._give_up('the lease has ended')
         elif (
-            clock.suspended_ms()
+            clock.boottime_ms()
             > self.valid_until_ms + MAX_HOLD_BEYOND_LEASE_MS
         ):
             self._give_up('the service has been away for too long')
--- a/topazring/pooler/router.py
+++ b/topazring/pooler/router.py
@@ -106,7 +106,7 @@
         deadline_ms = request.arrived_ms + request.policy.timeout_ms
         turn = next(self.turns)
         weigh = functools.partial(self._weigh, request.policy.service)
-        while not self.closed and clock.suspended_ms() < deadline_ms:
+        while not self.closed and clock.boottime_ms() < deadline_ms:
             place = forwarding.next_owner(
                 plan,
                 owned,
@@ -136,7 +136,7 @@
         if forwarding.is_final(request, answer):
             return answer
         if place in self.peers:
-            until_ms = clock.suspended_ms() + REFUSAL_AVOID_MS
+            until_ms = clock.boottime_ms() + REFUSAL_AVOID_MS
             self.peers[place].cannot_until_ms[request.policy.service] = (
                 until_ms
             )
@@ -187,7 +187,7 @@
         if not isinstance(answer, forwarding.LinkLost):
             peer.failures = 0
             return
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if now_ms < peer.avoid_until_ms:
             return
         avoid_ms = min(MIN_AVOID_MS * 2**peer.failures, MAX_AVOID_MS)
@@ -201,7 +201,7 @@
         if place == forwarding.THIS_PROXY:
             return self.local.queued_locally(service)
         peer = self.peers.get(place)
-        now_ms = clock.suspended_ms()
+        now_ms = clock.boottime_ms()
         if peer is None or now_ms < peer.avoid_until_ms:
             return None
         if now_ms < peer.cannot_until_ms.get(service, 0):
--- a/topazring/pooler/shutdown.py
+++ b/topazring/pooler/shutdown.py
@@ -73,7 +73,7 @@
     are refused, and what is under way is answered.
     """
     grace_s = leaver.config.grace_s
-    began_ms = clock.suspended_ms()
+    began_ms = clock.boottime_ms()
     leaver.exit_deadline_ms = began_ms + int((grace_s - EXIT_MARGIN_S) * 1000)
     leaver.log.emit(
         'process', 'stop begins', inputs={'sessions': len(leaver.callers)}
@@ -91,7 +91,7 @@
 
 async def _until(leaver: ShutdownHost, began_ms: int, after_s: float) -> None:
     """Let quiet sessions go until a moment, or until none is left."""
-    while clock.suspended_ms() - began_ms < after_s * 1000:
+    while clock.boottime_ms() - began_ms < after_s * 1000:
         if leaver.shutdown_phase is not caller_task.ShutdownPhase.RUNNING:
             for caller in list(leaver.callers):
                 caller.close_if_idle()
@@ -105,8 +105,8 @@
     leaver.router.close()
     for group in leaver.groups.values():
         group.close()
-    until_ms = clock.suspended_ms() + int(FLUSH_TIMEOUT_S * 1000)
-    while clock.suspended_ms() < until_ms:
+    until_ms = clock.boottime_ms() + int(FLUSH_TIMEOUT_S * 1000)
+    while clock.boottime_ms() < until_ms:
         answering = any(caller.busy for caller in leaver.callers)
         if not answering and not leaver.hop_server.is_busy():
             return
--- a/topazring/pooler/tests/fleet.py
+++ b/topazring/pooler/tests/fleet.py
@@ -62,7 +62,7 @@
         self.reads = 0
         self.watches = 0
 
-    async def everything(self, prefix):
+    async def read_all(self, prefix):
         """Return all that there is."""
         self.reads += 1
         if self.away or self.swallowed:
@@ -77,7 +77,7 @@
         if self.away:
             return key_value.Unavailable('turned away')
         if since < service.history_from:
-            return key_value.HistoryLost()
+            return key_value.HistoryCompacted()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000), service.changed:
                 await service.changed.wait_for(
@@ -86,7 +86,7 @@
         if self.swallowed:
             return key_value.Unavailable('no answer in time')
         if since < service.history_from:
-            return key_value.HistoryLost()
+            return key_value.HistoryCompacted()
         later = [c for c in service.history if c.revision > since]
         return key_value.Changes(since, service.revision, later)
 
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -126,7 +126,7 @@
             statements.Statement(f'r{key}', verb, 'text'),
             POLICY,
             verb is Verb.WRITE,
-            clock.suspended_ms(),
+            clock.boottime_ms(),
             **more,
         )
         return asyncio.create_task(self.task.submit(request))
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -32,7 +32,7 @@
         statements.Statement('r1', verb, 'READ 1a4', name='s1'),
         POLICY,
         verb is Verb.WRITE,
-        clock.suspended_ms(),
+        clock.boottime_ms(),
         session_place=log_positions.LogPosition(3, 12),
         values={'zone': 'cork'},
         prepared=statements.Prepare('rq', statements.Access.READ, 'q'),
@@ -108,7 +108,7 @@
         theirs.close()
         dialled = mock.AsyncMock(return_value=iostream.IOStream(ours))
         link = hop.Link('127.0.0.1:1')
-        deadline_ms = clock.suspended_ms() + 500
+        deadline_ms = clock.boottime_ms() + 500
         with (
             mock.patch.object(tcpclient.TCPClient, 'connect', dialled),
             mock.patch.object(hop.dialling, 'keep_alive', autospec=True),
@@ -140,7 +140,7 @@
 
     async def ask(self, asked=None):
         """Ask the owner."""
-        deadline_ms = clock.suspended_ms() + 500
+        deadline_ms = clock.boottime_ms() + 500
         load = forwarding.Load()
         return await self.link.send_request(
             asked or request(), deadline_ms, load
@@ -183,7 +183,7 @@
 
         async def steps():
             load = forwarding.Load()
-            deadline_ms = clock.suspended_ms() + 500
+            deadline_ms = clock.boottime_ms() + 500
             await self.link.send_request(request(), deadline_ms, load)
             self.assertEqual((5, 0), (load.waiting, load.in_flight))
 
@@ -292,14 +292,14 @@
         """
 
         async def steps():
-            began_ms = clock.suspended_ms()
+            began_ms = clock.boottime_ms()
             with mock.patch.object(
                 hop_server._PeerStream, 'handle_frame', lambda *_: None
             ):
                 self.assertEqual(
                     forwarding.LinkLost(True), await self.send_request()
                 )
-            took_ms = clock.suspended_ms() - began_ms
+            took_ms = clock.boottime_ms() - began_ms
             self.assertGreaterEqual(took_ms, hop.SILENCE_TIMEOUT_MS - 20)
 
         self.play(steps)
--- a/topazring/pooler/tests/test_promotion_lease.py
+++ b/topazring/pooler/tests/test_promotion_lease.py
@@ -36,7 +36,7 @@
         self.leases[number] = self.now() + ttl_ms / 1000
         return key_value.Leased(number, ttl_ms)
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         """Renew a lease."""
         self.calls.append('keep')
         if self.away:
--- a/topazring/pooler/upstream_link.py
+++ b/topazring/pooler/upstream_link.py
@@ -83,7 +83,7 @@
         """Return the upstream's place, or its refusal."""
         target = settings.endpoint(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        dialling.keep_alive(sock)
+        dialling.enable_keepalive(sock)
         self.stream = iostream.IOStream(sock)
         await self.stream.connect((target.host, target.port))
         await self.stream.write(self.codec.hello(service, upstream))
--- a/topazring/proxy/control_link.py
+++ b/topazring/proxy/control_link.py
@@ -80,7 +80,7 @@
         self.pending[ask.id] = Pending(message, now_ms, prompt)
         raw = wire.encode_control(ask)
         self.sent_bytes += len(raw)
-        sockets.write_quietly(self.socket, raw, True)
+        sockets.write_if_open(self.socket, raw, True)
 
     def _encode(self, message: object) -> wire.ControlAsk:
         ask_id = self.next_id
--- a/topazring/proxy/hop.py
+++ b/topazring/proxy/hop.py
@@ -127,12 +127,12 @@
 
 
 async def _read_frame(stream: iostream.IOStream) -> Frame:
-    return _decode(await framing.read(stream))
+    return _decode(await framing.read_frame(stream))
 
 
 def _write_frame(stream: iostream.IOStream, frame: Frame) -> bool:
     """Write a frame; False if the stream is closed."""
-    return framing.write(stream, _encode(frame))
+    return framing.write_frame(stream, _encode(frame))
 
 
 class HopServer(tcpserver.TCPServer):
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -76,7 +76,7 @@
         """
         self.draining = True
         for socket in list(self.sockets):
-            sockets.write_quietly(socket, frames.LEAVING)
+            sockets.write_if_open(socket, frames.LEAVING)
 
     def end_quiet(self, quiet_ms: int) -> None:
         """End the sessions whose callers do not heed the notice."""
@@ -167,7 +167,7 @@
     ) -> None:
         took_ms = clock.monotonic_ms() - began_ms
         self.front.metrics.note(kind, outcome, took_ms)
-        sockets.write_quietly(self, frames.encode(frame_id, outcome, token))
+        sockets.write_if_open(self, frames.encode(frame_id, outcome, token))
 
     # ---- hello ----
 
--- a/topazring/proxy/sql_pool.py
+++ b/topazring/proxy/sql_pool.py
@@ -97,7 +97,7 @@
         self.sent = True
         self.pinged_ms = 0
         self.heard_ms = clock.monotonic_ms()
-        if not sockets.write_quietly(self.socket, wire.encode(ask)):
+        if not sockets.write_if_open(self.socket, wire.encode(ask)):
             self.lose(Reason.CONNECTION_LOST)
 
     def _heard(self, data: bytes) -> None:
--- a/topazring/standin/upstream_sockets.py
+++ b/topazring/standin/upstream_sockets.py
@@ -85,7 +85,7 @@
             self.opened = Open(ask.organisation, ask.term)
         elif ask.kind in (Kind.COMMIT, Kind.ROLLBACK):
             self.opened = None
-        sockets.write_quietly(self, wire.encode(reply))
+        sockets.write_if_open(self, wire.encode(reply))
 
 
 class ControlSocket(_CountedSocket):
@@ -121,7 +121,7 @@
             self.upstream.silent_ms(),
             accepted,
         )
-        sockets.write_quietly(self, wire.encode_control(reply), True)
+        sockets.write_if_open(self, wire.encode_control(reply), True)
 
     async def _wait(self, ask: wire.ControlAsk) -> None:
         log = self.upstream.log
@@ -163,7 +163,7 @@
                 self._send(reply)
 
     def _send(self, reply: replication.Acknowledge) -> None:
-        sockets.write_quietly(self, replication.encode(reply))
+        sockets.write_if_open(self, replication.encode(reply))
 
     def on_close(self) -> None:
         if self.worker is not None:
