--- a/topazring/proxy/ownership.py
+++ b/topazring/proxy/ownership.py
@@ -63,9 +63,9 @@
     def apply_changes(self, databases: set[str]) -> None:
         """Apply changes of the instances and of the given databases.
 
-        Only databases whose owners changed are refreshed: with 3,200
-        databases, refreshing all of them would take seconds at each restart
-        of a proxy.
+        Of the databases without an owner task here, only those whose owners
+        or configuration changed are refreshed: with 3,200 databases,
+        refreshing all would take seconds at each restart of a proxy.
         """
         for name in databases:
             self._apply_configuration(name)
@@ -88,13 +88,11 @@
         return is_local or region not in self.placement.regions
 
     def _apply_configuration(self, name: str) -> None:
-        configuration = self.cluster_state.catalogue
+        current = self.cluster_state.catalogue
         owner = self.owners.get(name)
-        if owner is not None and owner.database != configuration.database(
-            name
-        ):
+        if owner is not None and owner.database != current.database(name):
             self._close_owner(name)
-        region = configuration.regions.get(name)
+        region = current.regions.get(name)
         if region is None:
             placements.drop_database(self.placement, name)
         else:
--- a/topazring/tests/failure_logs.py
+++ b/topazring/tests/failure_logs.py
@@ -1,14 +1,14 @@
-"""Print the end of processes' logs with the failure of a test."""
+"""Attach the ends of process logs to the failure of a test."""
 
 import testtools
 from testtools import content
 
 __all__ = ['attach_log']
 
-# So much of each process's log is shown.
+# Length of the end of each log that is attached.
 TAIL_CHARS = 4000
 
 
 def attach_log(test: testtools.TestCase, name: str, log: str) -> None:
-    """Have the end of a process's log printed with the failure."""
+    """Attach the end of a process's log to a failing test."""
     test.addDetail(f'{name}.log', content.text_content(log[-TAIL_CHARS:]))
--- a/topazring/tests/rivals.py
+++ b/topazring/tests/rivals.py
@@ -1,4 +1,4 @@
-"""A rival that promotes on its own, with terms granted as to any owner."""
+"""A rival of the owners that promotes with terms granted as to an owner."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Rival:
-    """Own control connections to the upstreams of one database."""
+    """Promote primaries over control connections to one database."""
 
     def __init__(self, fleet, database, terms):
         self.fleet = fleet
@@ -22,57 +22,68 @@
         self.sockets = {}
         self.promoted = 0
 
-    async def ask(self, name, kind, term):
-        """Send one control ask; return the reply."""
+    async def send_request(self, name, kind, term):
+        """Send one control request; return the reply."""
         socket = self.sockets.get(name)
         if socket is None:
             url = f'ws://127.0.0.1:{self.fleet.port(name)}/control'
             socket = await websocket.websocket_connect(url)
             self.sockets[name] = socket
-        ask = wire.ControlAsk(1, kind, term, claimant=CLAIMANT)
-        await socket.write_message(wire.encode_control(ask), binary=True)
+        request = wire.ControlAsk(1, kind, term, claimant=CLAIMANT)
+        await socket.write_message(wire.encode_control(request), binary=True)
         return wire.decode_control_reply(await socket.read_message())
 
     async def promote(self, names):
-        """Fence a majority under the next term, and promote by the rules."""
+        """Fence a majority, given by name, and promote one of it.
+
+        Use the next granted term. By the rules for owners, promote only if
+        all accept the fence, and choose the highest log position.
+        """
         if not self.terms:
             return
         term = self.terms.pop(0)
         replies = await asyncio.gather(
-            *(self.ask(name, 'fence', term) for name in names)
+            *(self.send_request(name, 'fence', term) for name in names)
         )
         if not all(reply.accepted for reply in replies):
             return
-        at = {
+        positions = {
             name: log_positions.LogPosition(reply.log_term, reply.position)
             for name, reply in zip(names, replies, strict=True)
         }
-        chosen = max(names, key=lambda name: at[name])
-        led = await self.ask(chosen, 'lead', term)
-        self.promoted += led.accepted
+        chosen = max(names, key=lambda name: positions[name])
+        lead_reply = await self.send_request(chosen, 'lead', term)
+        self.promoted += lead_reply.accepted
 
     async def close(self):
-        """Close the connections."""
+        """Close the control connections."""
         for socket in self.sockets.values():
             socket.close()
 
 
 async def make_rival(fleet, database):
-    """Return a rival, with terms granted by compare-and-swap."""
+    """Return a rival whose terms were granted by compare-and-swap."""
     key = f'group/{database}'
     while True:
-        found = await fleet.platform.get(key)
-        record = grants.parse(found.value)
-        # Above all that the owners hold, so that some of its terms win.
-        above = max(term for term, _ in record.grants)
-        wanted = grants.grant_terms(record, CLAIMANT, record.term, 2, 'rival')
-        higher = grants.GroupRecord(
-            wanted.term,
-            wanted.primary,
-            (*wanted.grants, (above + 5, CLAIMANT), (above + 9, CLAIMANT)),
+        current = await fleet.platform.get(key)
+        record = grants.parse(current.value)
+        # Two terms above all those granted to the owners, so that some of
+        # the rival's terms win.
+        highest_term = max(term for term, _ in record.grants)
+        granted = grants.grant_terms(record, CLAIMANT, record.term, 2, 'rival')
+        updated = grants.GroupRecord(
+            granted.term,
+            granted.primary,
+            (
+                *granted.grants,
+                (highest_term + 5, CLAIMANT),
+                (highest_term + 9, CLAIMANT),
+            ),
             'rival',
         )
-        written = await fleet.platform.put(key, higher.dump(), found.revision)
+        written = await fleet.platform.put(
+            key, updated.dump(), current.revision
+        )
         if isinstance(written, key_value.Written):
-            terms = grants.terms_of(higher, CLAIMANT)
+            terms = grants.terms_of(updated, CLAIMANT)
             return Rival(fleet, database, terms)
--- a/topazring/tests/support.py
+++ b/topazring/tests/support.py
@@ -1,4 +1,4 @@
-"""What the tests with real processes share."""
+"""Helpers of the tests that run real processes."""
 
 import asyncio
 import collections
@@ -17,7 +17,7 @@
 
 
 class FleetTestCase(testtools.TestCase):
-    """Give each test a fleet of its own, and end it."""
+    """Run each test on a fleet of its own and close the fleet."""
 
     def run_on_fleet(self, steps, **plan):
         """Run `steps(fleet)` on a fleet with the given plan."""
@@ -36,7 +36,11 @@
             await fleet.close()
 
     async def check_ledgers(self, fleet, stats, database=''):
-        """Compare what callers were told with the survivors' log."""
+        """Check the outcomes that callers received against the primary's log.
+
+        No request may have run twice, no acknowledged request may be missing
+        and no request that was reported as not run may have run.
+        """
         log = await surviving_log(fleet, database)
         ran = collections.Counter(
             entry['request_id'] for entry in log if not entry['cancelled']
@@ -44,16 +48,15 @@
         twice = [rid for rid, count in ran.items() if rid and count > 1]
         self.assertEqual([], twice, 'ran twice')
         lost = [rid for rid in stats.done_ids if rid not in ran]
-        self.assertEqual([], lost, 'acknowledged and lost')
-        false = [rid for rid in stats.not_run_ids if rid in ran]
-        self.assertEqual([], false, 'said not to have run')
+        self.assertEqual([], lost, 'acknowledged, but lost')
+        wrong = [rid for rid in stats.not_run_ids if rid in ran]
+        self.assertEqual([], wrong, 'reported as not run, but ran')
         self.assertEqual([], stats.violations)
 
     async def load_during_fault(self, fleet, fault, seconds=5.0, **mix):
-        """Load the fleet, cause the fault in the middle, check it all."""
-        # Sessions move between proxies all the while, also in the middle
-        # of the fault.
-        wanted = {
+        """Load the fleet, cause the fault meanwhile, check the outcomes."""
+        # Sessions move between proxies all the time, also during the fault.
+        settings = {
             'rate': 100,
             'read_share': 0.5,
             'sessions': 12,
@@ -61,7 +64,7 @@
             **mix,
         }
         load = experiments.load_on(
-            fleet, generator.Mix(seconds=seconds, **wanted)
+            fleet, generator.Mix(seconds=seconds, **settings)
         )
         await load.start()
         running = asyncio.create_task(load.run())
@@ -82,7 +85,10 @@
 
 
 async def count_runs(fleet, request_id):
-    """Return how often an id stands in the survivors' log, uncancelled."""
+    """Return the number of uncancelled log entries of a request id.
+
+    The log is that of the primary of the highest term.
+    """
     log = await surviving_log(fleet)
     return sum(
         1
--- a/topazring/tests/test_command_line.py
+++ b/topazring/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Settings, command lines and sample files."""
+"""Tests of settings files, command lines and sample files."""
 
 import pathlib
 import subprocess
@@ -15,26 +15,26 @@
 GOOD = (ROOT / 'settings/ballinure/p1.json').read_text()
 
 
-def run(module, *words):
-    """Run a program; return its exit code and what it printed."""
-    done = subprocess.run(
-        [sys.executable, '-m', module, *words],
+def run(module, *arguments):
+    """Run a program; return its exit code, stdout and stderr."""
+    completed = subprocess.run(
+        [sys.executable, '-m', module, *arguments],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 class TestSettings(testtools.TestCase):
-    """A fault names the file, the key and the reason; nothing starts."""
+    """An error names the file, the key and the reason; nothing starts."""
 
-    def check(self, text):
+    def read_settings(self, text):
         return settings_file.read_text(text, settings.ProxySettings, 'a.json')
 
-    def fault(self, text):
+    def settings_error(self, text):
         error = self.assertRaises(
-            settings_file.SettingsError, self.check, text
+            settings_file.SettingsError, self.read_settings, text
         )
         self.assertNotIn('\n', str(error))
         return str(error)
@@ -52,21 +52,23 @@
 
     def test_unknown_key(self):
         text = GOOD.replace('heartbeat_ms', 'heartbeat_s')
-        self.assertIn('a.json: heartbeat_s: Extra', self.fault(text))
+        self.assertIn('a.json: heartbeat_s: Extra', self.settings_error(text))
 
     def test_wrong_unit(self):
         text = GOOD.replace('heartbeat_ms: 200', 'heartbeat_ms: 0.2')
-        self.assertIn('a.json: heartbeat_ms:', self.fault(text))
+        self.assertIn('a.json: heartbeat_ms:', self.settings_error(text))
 
     def test_missing_field(self):
         text = GOOD.replace('hop_port: 7002,', '')
-        self.assertIn('a.json: hop_port: Field required', self.fault(text))
+        self.assertIn(
+            'a.json: hop_port: Field required', self.settings_error(text)
+        )
 
     def test_not_json(self):
-        self.assertIn('a.json: is not JSON', self.fault('{name:'))
+        self.assertIn('a.json: is not JSON', self.settings_error('{name:'))
 
     def test_not_a_mapping(self):
-        self.assertIn('a.json: (whole)', self.fault('[]'))
+        self.assertIn('a.json: (whole)', self.settings_error('[]'))
 
     def test_check_command(self):
         path = str(ROOT / 'settings/dizon/p1.json')
@@ -76,15 +78,15 @@
 
     def test_run_with_bad_settings(self):
         for module in ('topazring.proxy.main', 'topazring.standin.main'):
-            verb = 'run' if 'proxy' in module else 'upstream'
-            code, out, err = run(module, verb, '/nonexistent.json')
+            command = 'run' if 'proxy' in module else 'upstream'
+            code, out, err = run(module, command, '/nonexistent.json')
             self.assertEqual((2, ''), (code, out))
             self.assertEqual(1, err.count('\n'))
             self.assertIn('/nonexistent.json: cannot be read', err)
 
 
 class TestAdmin(testtools.TestCase):
-    """Bad input is told in one line, with an exit code."""
+    """Bad input is reported in one line, with an exit code."""
 
     def test_validate(self):
         code, out, _ = run(
@@ -103,13 +105,13 @@
             (('get', 'profile', 'a', '--platform', 'x'), 'want HOST:PORT'),
             (('validate', 'profile', '@/nonexistent'), 'No such file'),
         )
-        for words, text in cases:
-            code, _, err = run('topazring.admin.main', *words)
+        for arguments, text in cases:
+            code, _, err = run('topazring.admin.main', *arguments)
             self.assertEqual(2, code, err)
             self.assertIn(text, err)
             self.assertEqual(1, err.count('\n'))
 
-    def test_service_away(self):
+    def test_service_unreachable(self):
         code, _, err = run(
             'topazring.admin.main',
             'get',
--- a/topazring/tests/test_request_outcomes.py
+++ b/topazring/tests/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Every request has one final answer, and the answer is true."""
+"""Tests that each request gets exactly one answer, and a correct one."""
 
 import asyncio
 import collections
@@ -11,15 +11,16 @@
 from topazring.tests import support
 
 
-class TestFates(support.FleetTestCase):
-    """At most once, whole answers, nothing left hanging."""
+class TestRequestOutcomes(support.FleetTestCase):
+    """Requests run at most once, are answered, and leave nothing open."""
 
     def test_owner_killed_under_load(self):
-        """Symptom: a score is posted twice after a proxy's crash.
+        """Guards against a write that runs twice after a proxy crash.
 
-        Sequence: the owner is killed with writes under way; the entry does
-        not know whether they ran. Cause: it sends them once more. Instead
-        the other owner settles each: it is found done, or can never run.
+        The owner is killed with writes in flight, so the entry has no record
+        of whether they ran. If it resent them, they could run twice. Instead
+        the other owner resolves each in-doubt request: it is found done, or
+        is prevented from ever running.
         """
 
         async def steps(fleet):
@@ -32,10 +33,10 @@
         self.run_on_fleet(steps, proxies=4)
 
     def test_proxy_killed_in_a_transaction(self):
-        """Symptom: half a transaction shows, or its connection is stuck.
+        """Guards against half a transaction and a connection left open.
 
-        Sequence: a caller has run two statements of a transaction; its
-        proxy is killed. Cause: nobody is left to end the transaction.
+        A caller has run two statements of a transaction when its proxy is
+        killed. No process is left that would end the transaction.
         """
 
         async def steps(fleet):
@@ -49,13 +50,15 @@
             await session.execute(support.INSERT, ['IPE300'])
             await fleet.kill(entry)
 
-            async def ended():
+            async def transaction_has_ended():
                 found = await fleet.get(
                     f'{owners[0]} operator', '/explain/calc1'
                 )
                 return found['state']['transactions'] == 0
 
-            await support.fleets.wait_until(ended, 'the transaction ends')
+            await support.fleets.wait_until(
+                transaction_has_ended, 'the transaction ends'
+            )
             other = await fleet.session(owners[0], 'strict')
             read = await other.read(support.SELECT)
             self.assertEqual([], read.rows)
@@ -63,11 +66,11 @@
         self.run_on_fleet(steps)
 
     def test_answer_lost_after_the_write_took_effect(self):
-        """Symptom: a save lands twice; two revisions argue on one drawing.
+        """Guards against a save that runs twice, as two conflicting revisions.
 
-        Sequence: the write runs at the primary; its answer is lost on the
-        way, on a connection that passes nothing any more; new connections
-        work. Cause: a timeout taken for a failure.
+        The write runs at the primary, and its answer is lost on a connection
+        that passes no more data, while new connections work. The fault is to
+        treat the timeout as a failure of the write.
         """
 
         async def steps(fleet):
@@ -87,11 +90,11 @@
         self.run_on_fleet(steps, faults=True)
 
     def test_id_repeated_before_during_and_after_a_promotion(self):
-        """Symptom: a caller that lost its answer runs its save again.
+        """Guards against a save that runs again when its caller repeats it.
 
-        Sequence: the same id is sent at each proxy, before, during and
-        after the loss of the primary. Cause: a memory of requests that is
-        kept in proxies or dies with the primary.
+        The same request id is sent to each proxy, before, during and after
+        the loss of the primary. The save runs again if request records are
+        kept in proxies or are lost with the primary.
         """
 
         async def steps(fleet):
@@ -121,11 +124,11 @@
         self.run_on_fleet(steps)
 
     def test_late_answers_reach_nobody_else(self):
-        """Symptom: a caller is shown another's rows.
+        """Guards against an answer that reaches the caller of another read.
 
-        Sequence: reads time out while their answers are under way; other
-        reads follow at once. Cause: a connection used again after a
-        timeout, on which the late answer comes first.
+        Reads time out while their answers are in transit, and other reads
+        follow at once. If a connection is reused after a timeout, the late
+        answer arrives first on it.
         """
 
         async def steps(fleet):
@@ -143,8 +146,8 @@
             quick = await asyncio.gather(
                 *(session.read('SELECT ?', [n]) for n in range(60))
             )
-            late = [a for a in slow if not a.done]
-            self.assertNotEqual([], late)
+            timed_out = [a for a in slow if not a.done]
+            self.assertNotEqual([], timed_out)
             for number, answer in enumerate(slow):
                 if answer.done:
                     self.assertEqual([[number]], answer.rows)
@@ -152,19 +155,19 @@
                 if answer.done:
                     self.assertEqual([[number]], answer.rows)
 
-            async def recovered():
+            async def reads_work():
                 return (await session.read('SELECT 7')).rows == [[7]]
 
-            await support.fleets.wait_until(recovered, 'reads work again')
+            await support.fleets.wait_until(reads_work, 'reads work again')
 
         self.run_on_fleet(steps, faults=True)
 
     def test_all_connections_go_silent_at_once(self):
-        """Symptom: a promotion, or a stall, though the primary is well.
+        """Guards against a promotion or a stall while the primary is healthy.
 
-        Sequence: something between the ends loses track of all open
-        connections to the primary; nothing is closed; new ones work. Cause:
-        silence of old connections taken for silence of the upstream.
+        A device on the network path loses track of all open connections to
+        the primary. None is closed, and new connections work. The fault is to
+        treat silence of the old connections as silence of the upstream.
         """
 
         async def steps(fleet):
@@ -188,11 +191,11 @@
         self.run_on_fleet(steps, faults=True)
 
     def test_organisations_share_nothing(self):
-        """Symptom: one organisation reads or blocks what is another's.
+        """Guards against access to the data of another organisation.
 
-        Sequence: two organisations use one database, the same table name
-        and the same request id; one hands in the other's token and key.
-        Cause: anything keyed without the organisation.
+        Two organisations use one database, the same table name and the same
+        request id, and one presents the other's token and key. One reads or
+        blocks the other's data if any state is keyed without organisation.
         """
 
         async def steps(fleet):
@@ -228,14 +231,14 @@
 
 
 class TestLeaving(support.FleetTestCase):
-    """What leaves gets nothing new and cuts nothing off."""
+    """A process that shuts down gets no new work and completes the rest."""
 
     def test_rolling_restart_of_all_proxies(self):
-        """Symptom: requests cut off during a rollout.
+        """Guards against requests cut off during a rollout.
 
-        Sequence: every proxy in turn is told to stop and replaced, under
-        load. Cause: a process that ends with requests in flight, or peers
-        that go on sending to it.
+        Under load, each proxy in turn is stopped and replaced. Requests are
+        cut off if a process exits with requests in flight, or if its peers
+        continue to send to it.
         """
 
         async def steps(fleet):
@@ -243,7 +246,8 @@
                 for number in range(fleet.plan.proxies):
                     name = f'p{number + 1}'
                     fleet.send_signal(name, signal.SIGTERM)
-                    # It has ten seconds to drain; one that hangs is told.
+                    # The proxy has ten seconds to drain. The timeout makes the
+                    # test fail if it hangs.
                     async with asyncio.timeout(30):
                         code = await fleet.processes[name].wait()
                     self.assertEqual(0, code, fleet.log_of(name))
@@ -258,11 +262,11 @@
         self.run_on_fleet(steps)
 
     def test_open_transaction_ends_before_its_proxy(self):
-        """Symptom: a transaction lost to a shutdown that was announced.
+        """Guards against a transaction lost in a graceful shutdown.
 
-        Sequence: a transaction is open; its proxy is told to stop; the
-        caller goes on and commits. Cause: a drain that counts requests in
-        flight and forgets transactions between two statements.
+        A proxy is stopped while a transaction is open, and the caller goes
+        on and commits. The transaction is lost if the drain counts requests
+        in flight but not transactions between two statements.
         """
 
         async def steps(fleet):
@@ -284,10 +288,10 @@
         self.run_on_fleet(steps)
 
     def test_leaving_upstream_gets_nothing_new(self):
-        """Symptom: statements cut when an upstream is taken away.
+        """Guards against statements cut off when an upstream is removed.
 
-        Sequence: the platform lists the primary as leaving, under load.
-        Cause: owners that give it work until it is gone.
+        The platform lists the primary as leaving, under load. Statements are
+        cut off if owners send it work until it is gone.
         """
 
         async def steps(fleet):
@@ -315,17 +319,18 @@
 
 
 class TestFairness(support.FleetTestCase):
-    """One organisation's flood is its own problem."""
+    """Overload by one organisation must not affect the others."""
 
     def test_flood_beside_an_ordinary_organisation(self):
-        """Symptom: one organisation's batch stalls everyone's schedules.
-
-        Sequence: one sends ten times what the slots carry, others a
-        trickle. Cause: one line for all. Where processor time is short the
-        line is the stream to the owner, which reads slower than the flood
-        arrives: the other's write waits unread behind thousands, the owner
-        looks silent ("p3 went silent"), and all that it has is settled at
-        the next owner first ("986 left deadline (0 wait, 1691 in hand)").
+        """Guards against one organisation's batch that stalls all others.
+
+        One organisation sends ten times what the slots can process, others
+        send little. The others stall if all share one queue. When processor
+        time is short, that queue is the stream to the owner, which reads more
+        slowly than the batch arrives. Another organisation's write then waits
+        unread behind thousands, the owner appears to have timed out ("p3 went
+        silent"), and all its requests are first resolved at the next owner
+        ("986 left deadline (0 wait, 1691 in hand)").
         """
 
         async def steps(fleet):
@@ -339,8 +344,8 @@
             flooding = asyncio.create_task(flood.run())
             await asyncio.sleep(1.0)
             answers = []
-            until = time.monotonic() + 2.0
-            while time.monotonic() < until:
+            until_s = time.monotonic() + 2.0
+            while time.monotonic() < until_s:
                 answers.append(await other.write(support.INSERT, ['x']))
             stats = await flooding
             await flood.close()
