--- a/topazring/proxy/process.py
+++ b/topazring/proxy/process.py
@@ -66,7 +66,7 @@
         self.entry = entries.Entry(
             config.name, self.cluster_state, self.ownership
         )
-        self.front = sessions.Front(
+        self.front = sessions.Frontend(
             config, self.cluster_state, self.entry, self.metrics
         )
         self.hop_server = hop.HopServer(self.entry.serve_hop)
@@ -156,7 +156,7 @@
         self.front.drain()
         until_ms = clock.monotonic_ms() + self.config.limits.drain_ms
         while clock.monotonic_ms() < until_ms:
-            self.front.end_quiet(IDLE_SESSION_MS)
+            self.front.close_idle_sessions(IDLE_SESSION_MS)
             if not self.front.sockets and not self.ownership.count_open():
                 break
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
