--- a/topazring/proxy/__init__.py
+++ b/topazring/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers as an entry, and databases as an owner."""
+"""Proxy process: entry for callers and owner of databases."""
--- a/topazring/proxy/frames.py
+++ b/topazring/proxy/frames.py
@@ -1,4 +1,4 @@
-"""Check the frames that callers send; see docs/PROTOCOL.md."""
+"""Validate frames from callers and encode answers; see docs/PROTOCOL.md."""
 
 import typing
 
@@ -38,17 +38,18 @@
 
 
 class Read(_Frame):
-    """Run a statement that changes nothing."""
+    """Run a read-only statement."""
 
     type: typing.Literal['read']
     statement: Sql
     parameters: list[Value] = []
-    # What another session of the same caller has seen.
+    # Token of another session of the same caller, whose position this read
+    # must reflect.
     token: str | None = None
 
 
 class Write(_Frame):
-    """Run a statement that may change something, under a request id."""
+    """Run a statement that may write, under a request id."""
 
     type: typing.Literal['write']
     request_id: str
@@ -91,7 +92,7 @@
 
 
 class Rollback(_Frame):
-    """Drop the open transaction."""
+    """Roll back the open transaction."""
 
     type: typing.Literal['rollback']
 
@@ -104,7 +105,7 @@
 
 
 class FrameError(ValueError):
-    """Say what is wrong with a frame, and which frame if that is known."""
+    """A frame is invalid; `frame_id` is its id, or None if unreadable."""
 
     def __init__(self, frame_id: int | None, detail: str):
         super().__init__(detail)
@@ -112,7 +113,7 @@
 
 
 def parse(raw: str | bytes) -> CallerFrame:
-    """Check a frame; raise FrameError if it is not one."""
+    """Return the validated frame; raise FrameError if it is invalid."""
     try:
         return _adapter.validate_json(raw)
     except pydantic.ValidationError as error:
@@ -127,7 +128,7 @@
 
 
 def read_id(raw: str | bytes) -> int | None:
-    """Return a frame's id, if so much of it can be read."""
+    """Return the id of a frame, or None if it cannot be decoded."""
     try:
         return msgspec.json.decode(raw, type=_Id).id
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -135,7 +136,7 @@
 
 
 class AnswerFrame(msgspec.Struct, omit_defaults=True):
-    """Carry an outcome to the caller."""
+    """Answer to a caller."""
 
     id: int | None
     outcome: str
@@ -149,7 +150,7 @@
 
 
 _encode = msgspec.json.Encoder().encode
-# Tells a caller to move its session when it has nothing open here.
+# Asks a caller to move its session once it has no open work here.
 LEAVING_FRAME = _encode(AnswerFrame(None, 'leaving'))
 
 
--- a/topazring/proxy/hop.py
+++ b/topazring/proxy/hop.py
@@ -1,8 +1,8 @@
-"""Carry requests between an entry and an owner over one TCP stream.
+"""Send requests from an entry to an owner over one TCP stream.
 
-Frames are length-prefixed msgpack with ids of our own. A lost stream is
-never sent over again: whether a request ran is then an open fate, and the
-entry decides what to do about it.
+Frames are length-prefixed msgpack; an id in each frame matches an answer to
+its request. When a stream is lost, its requests are not sent again here: it
+is not known whether they ran, and the entry decides how to proceed.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class HopRequest(msgspec.Struct, array_like=True, tag='q'):
-    """Carry a request, with its profile as the entry has it in force."""
+    """Request to an owner, with the profile in force at the entry."""
 
     id: int
     kind: str
@@ -48,7 +48,7 @@
 
 
 class HopAnswer(msgspec.Struct, array_like=True, tag='a'):
-    """Carry an outcome; `transaction` names one that began."""
+    """Outcome of a request; `transaction` is set if one was opened."""
 
     id: int
     outcome: str
@@ -63,7 +63,7 @@
 
 
 class Withdraw(msgspec.Struct, array_like=True, tag='w'):
-    """Say that a transaction's caller is gone."""
+    """Notice to an owner that a transaction's session has ended."""
 
     database: str
     transaction: int
@@ -77,7 +77,7 @@
 def to_answer(
     frame_id: int, outcome: outcomes.Outcome, transaction: int
 ) -> HopAnswer:
-    """Return the frame for an outcome."""
+    """Return the answer frame for an outcome."""
     match outcome:
         case outcomes.Done():
             place = (outcome.place.log_term, outcome.place.position)
@@ -109,7 +109,7 @@
 
 
 def to_outcome(answer: HopAnswer) -> outcomes.Outcome:
-    """Return the outcome that a frame carries."""
+    """Return the outcome in an answer frame."""
     match answer.outcome:
         case 'done':
             return outcomes.Done(
@@ -131,68 +131,72 @@
 
 
 def _write_frame(stream: iostream.IOStream, frame: Frame) -> bool:
-    """Write a frame; False if the stream is closed."""
+    """Write a frame; return False if the stream is closed."""
     return framing.write_frame(stream, _encode(frame))
 
 
 class HopServer(tcpserver.TCPServer):
-    """Take requests from entries and answer them as they end."""
+    """Receive requests from entries and send the answers as they complete."""
 
     def __init__(self, serve: collections.abc.Callable):
-        """Serve with `serve(frame, answer)` and `serve(withdraw, None)`."""
+        """Call `serve(frame, answer)` or `serve(withdraw, None)` per frame."""
         super().__init__()
         self.serve = serve
 
     async def handle_stream(
         self, stream: iostream.IOStream, address: tuple
     ) -> None:
-        """Serve one entry until its stream ends."""
+        """Serve one entry until its stream is closed."""
         stream.set_nodelay(True)
-        begun: dict[tuple[str, int], None] = {}
+        open_transactions: dict[tuple[str, int], None] = {}
         try:
             while True:
                 frame = await _read_frame(stream)
-                self._handle_frame(stream, frame, begun)
+                self._handle_frame(stream, frame, open_transactions)
         except (iostream.StreamClosedError, ValueError):
             stream.close()
-        # The entry is gone, and with it the sessions that could go on with
-        # these transactions. Each would hold a connection until its end.
-        for database, transaction in begun:
+        # The sessions that could continue these transactions were lost with
+        # the entry. Each transaction would hold a connection until its end.
+        for database, transaction in open_transactions:
             self.serve(Withdraw(database, transaction), None)
 
     def _handle_frame(
         self,
         stream: iostream.IOStream,
         frame: Frame,
-        begun: dict[tuple[str, int], None],
+        open_transactions: dict[tuple[str, int], None],
     ) -> None:
         match frame:
             case HopRequest():
 
                 def answer(key: int, outcome: outcomes.Outcome) -> None:
                     transaction = 0
-                    done = isinstance(outcome, outcomes.Done)
-                    if frame.kind == requests.Kind.BEGIN and done:
+                    is_done = isinstance(outcome, outcomes.Done)
+                    if frame.kind == requests.Kind.BEGIN and is_done:
                         transaction = key
-                        begun[(frame.database, key)] = None
+                        open_transactions[(frame.database, key)] = None
                     reply = to_answer(frame.id, outcome, transaction)
-                    written = _write_frame(stream, reply)
-                    if not written and transaction:
-                        gone = Withdraw(frame.database, transaction)
-                        self.serve(gone, None)
+                    is_written = _write_frame(stream, reply)
+                    if not is_written and transaction:
+                        withdrawal = Withdraw(frame.database, transaction)
+                        self.serve(withdrawal, None)
 
                 self.serve(frame, answer)
                 if frame.kind in ('commit', 'rollback'):
-                    begun.pop((frame.database, frame.transaction), None)
+                    open_transactions.pop(
+                        (frame.database, frame.transaction), None
+                    )
             case Withdraw():
-                begun.pop((frame.database, frame.transaction), None)
+                open_transactions.pop(
+                    (frame.database, frame.transaction), None
+                )
                 self.serve(frame, None)
             case framing.Ping():
                 _write_frame(stream, framing.Pong())
 
 
 class HopClient:
-    """Own the stream to one owner; match answers to requests."""
+    """Manage the stream to one owner and match answers to requests."""
 
     def __init__(self, name: str, host: str, port: int):
         self.name = name
@@ -206,19 +210,23 @@
         self.pinged_ms = 0
 
     def close(self) -> None:
-        """Close the stream."""
+        """Close the stream; pending requests are reported as lost."""
         self._fail_pending()
 
     async def call(
         self, make_frame: collections.abc.Callable[[int], HopRequest]
     ) -> tuple[outcomes.Outcome, int] | messages.ConnectionLost:
-        """Send a request; return its outcome and transaction, or a loss."""
+        """Send a request; return its outcome and the transaction it opened.
+
+        The transaction is 0 if none was opened. Return `ConnectionLost` if
+        the stream fails before the answer.
+        """
         if self.stream is None and not await self._connect():
             return messages.ConnectionLost(outcomes.Reason.OWNER_LOST, False)
         frame_id = self.next_id
         self.next_id += 1
-        answered = asyncio.get_running_loop().create_future()
-        self.pending[frame_id] = answered
+        future = asyncio.get_running_loop().create_future()
+        self.pending[frame_id] = future
         if not self.pending or len(self.pending) == 1:
             self.last_received_ms = max(
                 self.last_received_ms, clock.monotonic_ms()
@@ -227,10 +235,10 @@
             self.pending.pop(frame_id, None)
             self._fail_pending()
             return messages.ConnectionLost(outcomes.Reason.OWNER_LOST, True)
-        return await answered
+        return await future
 
     def withdraw(self, database: str, transaction: int) -> None:
-        """Tell the owner that a transaction's caller is gone."""
+        """Notify the owner that a transaction's session has ended."""
         if self.stream is not None:
             _write_frame(self.stream, Withdraw(database, transaction))
 
@@ -269,17 +277,17 @@
                 self._fail_pending()
 
     def _handle_answer(self, frame: HopAnswer) -> None:
-        waiting = self.pending.pop(frame.id, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result((to_outcome(frame), frame.transaction))
+        future = self.pending.pop(frame.id, None)
+        if future is not None and not future.done():
+            future.set_result((to_outcome(frame), frame.transaction))
 
     def _fail_pending(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
-        waiting = list(self.pending.values())
+        futures = list(self.pending.values())
         self.pending.clear()
-        for future in waiting:
+        for future in futures:
             if not future.done():
                 lost = messages.ConnectionLost(
                     outcomes.Reason.OWNER_LOST, True
@@ -287,11 +295,17 @@
                 future.set_result(lost)
 
     def tick(self, now_ms: int) -> None:
-        """Find a stream that went silent while requests wait on it."""
+        """Check a stream with pending requests; ping it, or close it.
+
+        A ping is sent `PING_AFTER_MS` after the last frame received. The
+        stream is closed if nothing arrives within `PONG_TIMEOUT_MS`.
+        """
         if self.stream is None or not self.pending:
             return
         if self.pinged_ms and now_ms - self.pinged_ms > PONG_TIMEOUT_MS:
-            logger.warning('%s went silent', self.name)
+            logger.warning(
+                '%s did not answer a ping; closing the stream', self.name
+            )
             self._fail_pending()
         elif (
             not self.pinged_ms
--- a/topazring/proxy/main.py
+++ b/topazring/proxy/main.py
@@ -1,4 +1,4 @@
-"""Run a proxy: `topazring-proxy run FILE`, or check its settings."""
+"""Define the command `topazring-proxy`: run a proxy or check settings."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,7 @@
 EXIT_BAD_SETTINGS = 2
 
 
-@cappa.command(name='run', help='Run a proxy until it is told to stop.')
+@cappa.command(name='run', help='Run a proxy until SIGTERM or SIGINT.')
 @dataclasses.dataclass
 class Run:
     """Serve callers and own databases."""
@@ -29,13 +29,13 @@
     )
 
     def __call__(self) -> None:
-        """Run; SIGTERM drains, a second one ends at once."""
+        """Run; SIGTERM or SIGINT drains, a second signal exits at once."""
         config = _read(self.file)
         logs.configure(self.verbose)
         asyncio.run(_serve(config))
 
 
-@cappa.command(name='check', help='Check settings; start nothing.')
+@cappa.command(name='check', help='Check settings without starting a proxy.')
 @dataclasses.dataclass
 class Check:
     """Check a settings file."""
@@ -43,7 +43,7 @@
     file: typing.Annotated[str, cappa.Arg(help='settings file')]
 
     def __call__(self) -> None:
-        """Print `ok`, or the first fault with exit code 2."""
+        """Print `ok`, or the first error and exit with code 2."""
         config = _read(self.file)
         print(f'{self.file}: ok ({config.name} in {config.data_centre})')
 
@@ -66,18 +66,20 @@
 
 async def _serve(config: settings.ProxySettings) -> None:
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     proxy = process.Proxy(config)
     await proxy.start()
-    await told.wait()
-    told.clear()
+    await stop_requested.wait()
+    stop_requested.clear()
     draining = asyncio.create_task(proxy.drain())
-    again = asyncio.create_task(told.wait())
-    await asyncio.wait({draining, again}, return_when=asyncio.FIRST_COMPLETED)
+    second_request = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait(
+        {draining, second_request}, return_when=asyncio.FIRST_COMPLETED
+    )
     draining.cancel()
-    again.cancel()
+    second_request.cancel()
     await proxy.close()
 
 
--- a/topazring/proxy/metrics.py
+++ b/topazring/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Count refusals and retries by reason, and record how long things took."""
+"""Count answers by outcome and reason, and record request latencies."""
 
 import collections
 
@@ -16,7 +16,7 @@
 
 
 class Metrics:
-    """Hold one process's counters; render them for Prometheus."""
+    """Hold the metrics of one process and render them for Prometheus."""
 
     def __init__(self):
         self.answers: collections.Counter[tuple[str, str]] = (
@@ -30,24 +30,24 @@
     def record_answer(
         self, kind: str, outcome: outcomes.Outcome, took_ms: int
     ) -> None:
-        """Count an answer and how long it took."""
+        """Count an answer and record its latency."""
         name = type(outcome).__name__.lower()
         reason = getattr(outcome, 'reason', '')
         self.answers[(name, str(reason))] += 1
-        recorded = self.latency.get(kind)
-        if recorded is None:
-            recorded = histogram.HdrHistogram(
+        latencies = self.latency.get(kind)
+        if latencies is None:
+            latencies = histogram.HdrHistogram(
                 1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
             )
-            self.latency[kind] = recorded
-        recorded.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
+            self.latency[kind] = latencies
+        latencies.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
 
     def add_source(self, name: str, help_text: str, read) -> None:
-        """Add counters that `read()` returns as a mapping by label."""
+        """Add a metric family; `read()` returns its values by label."""
         self.sources.append((name, help_text, read))
 
     def collect(self):
-        """Yield the metric families, as prometheus_client asks for them."""
+        """Yield the metric families; called by prometheus_client."""
         answers = core.CounterMetricFamily(
             'topazring_answers',
             'Final answers by outcome and reason',
@@ -62,10 +62,10 @@
             'Time from request to answer by kind and percentile',
             labels=['kind', 'percentile'],
         )
-        for kind, recorded in self.latency.items():
-            for quantile in PERCENTILES:
-                value = recorded.get_value_at_percentile(quantile)
-                latency.add_metric([kind, str(quantile)], value)
+        for kind, latencies in self.latency.items():
+            for percentile in PERCENTILES:
+                value = latencies.get_value_at_percentile(percentile)
+                latency.add_metric([kind, str(percentile)], value)
         yield latency
         for name, help_text, read in self.sources:
             family = core.GaugeMetricFamily(name, help_text, labels=['what'])
@@ -74,16 +74,20 @@
             yield family
 
     def _labels(self) -> list[tuple[str, str]]:
-        """Return every label, so that a reason shows before it happens."""
-        found = dict.fromkeys(self.answers)
+        """Return all pairs of outcome and reason.
+
+        Reasons that have not occurred yet are included, so that their
+        counters are exported as 0.
+        """
+        labels = dict.fromkeys(self.answers)
         for reason in outcomes.Reason:
             name = (
                 'rejected'
                 if reason in outcomes.REJECTION_REASONS
                 else 'notrun'
             )
-            found.setdefault((name, str(reason)))
-        return list(found)
+            labels.setdefault((name, str(reason)))
+        return list(labels)
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/topazring/proxy/operators.py
+++ b/topazring/proxy/operators.py
@@ -1,4 +1,4 @@
-"""Show operators and the balancer how this proxy is, over HTTP."""
+"""Serve the state of this proxy to operators and the load balancer."""
 
 import collections.abc
 import dataclasses
@@ -14,13 +14,17 @@
         self.proxy = proxy
 
     def write_json(self, value: object) -> None:
-        """Answer with JSON."""
+        """Finish the response with a JSON body."""
         self.set_header('Content-Type', 'application/json')
         self.finish(json.dumps(value))
 
 
 class HealthHandler(_Handler):
-    """Say live, ready or leaving; 503 when the balancer is to pass by."""
+    """Report live, ready or leaving.
+
+    The status is 503 unless ready, so that the load balancer sends no callers
+    here.
+    """
 
     def get(self) -> None:
         state = self.proxy.health()
@@ -30,7 +34,7 @@
 
 
 class MetricsHandler(_Handler):
-    """Show the metrics in the Prometheus text format."""
+    """Return the metrics in the Prometheus text format."""
 
     def get(self) -> None:
         self.set_header('Content-Type', 'text/plain; version=0.0.4')
@@ -38,14 +42,14 @@
 
 
 class StatusHandler(_Handler):
-    """Show what this proxy knows and how old that is."""
+    """Return the state of this proxy and the age of its information."""
 
     def get(self) -> None:
         self.write_json(self.proxy.status())
 
 
 class ExplainHandler(_Handler):
-    """Show what was decided about a database here, and why."""
+    """Return the decisions of this owner about a database, with reasons."""
 
     def get(self, database: str) -> None:
         owner = self.proxy.ownership.owners.get(database)
@@ -64,7 +68,7 @@
 
 
 def routes(proxy) -> collections.abc.Sequence[tuple]:
-    """Return the routes of the operators' port."""
+    """Return the HTTP routes of the operator port."""
     shared = {'proxy': proxy}
     return [
         ('/health', HealthHandler, shared),
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -145,7 +145,7 @@
         if len(raw) > limit:
             rejection = outcomes.Rejected(
                 Reason.TOO_LARGE,
-                f'message has {len(raw)} bytes, the limit is {limit}',
+                f'{len(raw)} bytes, {limit} at most',
             )
             frame_id = frames.read_id(raw)
             self._reply(frame_id, 'frame', rejection, self.last_received_ms)
@@ -193,9 +193,7 @@
         self, frame: frames.Hello
     ) -> outcomes.NotRun | outcomes.Rejected | None:
         if self.session is not None:
-            return outcomes.Rejected(
-                Reason.BAD_FRAME, 'the session is already open'
-            )
+            return outcomes.Rejected(Reason.BAD_FRAME, 'a second hello')
         if not self.front.knowledge.ready():
             return outcomes.NotRun(Reason.NO_CONFIGURATION, RETRY_MS)
         configured = self.front.knowledge.catalogue
@@ -204,7 +202,7 @@
         expected_hash = organisation.key_sha256 if organisation else ''
         if not hmac.compare_digest(key_hash, expected_hash):
             return outcomes.Rejected(
-                Reason.FORBIDDEN, 'unknown organisation or wrong key'
+                Reason.FORBIDDEN, 'no such organisation and key'
             )
         database = configured.database(frame.database)
         if database is None or (
@@ -306,9 +304,7 @@
         """Return the job for a frame, or the outcome that refuses it."""
         session = self.session
         if session is None:
-            return outcomes.Rejected(
-                Reason.BAD_FRAME, 'the first frame must be hello'
-            )
+            return outcomes.Rejected(Reason.BAD_FRAME, 'hello comes first')
         configured = self.front.knowledge.catalogue
         database = configured.database(session.database)
         if database is None:
@@ -348,11 +344,11 @@
         ):
             return outcomes.Rejected(
                 Reason.BAD_REQUEST_ID,
-                'expected the form HEXMILLISECONDS-RANDOM',
+                'want HEXMILLISECONDS-RANDOM',
             )
         if kind is Kind.BEGIN and session.open_transaction is not None:
             return outcomes.Rejected(
-                Reason.BAD_FRAME, 'a transaction is already open'
+                Reason.BAD_FRAME, 'a transaction is open already'
             )
         if kind in _NEEDS_TRANSACTION and session.open_transaction is None:
             if kind is Kind.COMMIT:
--- a/topazring/proxy/settings.py
+++ b/topazring/proxy/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of one proxy."""
+"""Define and validate the settings of one proxy."""
 
 import pydantic
 
@@ -13,26 +13,26 @@
 
 
 class EndpointSettings(_Settings):
-    """Say where something listens."""
+    """Host and port of a listening endpoint."""
 
     host: str = '127.0.0.1'
     port: Port
 
 
 class LimitSettings(_Settings):
-    """Hold the limits of one proxy."""
+    """Resource limits of one proxy."""
 
     message_bytes: int = pydantic.Field(1_000_000, ge=1024)
     sessions: int = pydantic.Field(20_000, ge=1)
     requests_a_session: int = pydantic.Field(64, ge=1)
-    # Requests that wait for one database at this owner.
+    # Maximum number of requests queued for one database at this owner.
     queue: int = pydantic.Field(400, ge=1)
-    # How long a proxy that was told to stop waits for open transactions.
+    # Maximum time to wait for open transactions during shutdown.
     drain_ms: int = pydantic.Field(10_000, ge=0)
 
 
 class ProxySettings(_Settings):
-    """Hold the settings of one proxy."""
+    """Settings of one proxy."""
 
     name: str = pydantic.Field(pattern=r'^[a-z0-9][a-z0-9-]{0,62}$')
     region: str
@@ -43,10 +43,11 @@
     gossip_port: Port
     operator_port: Port
     platform: EndpointSettings
-    # Gossip endpoints to learn from while the platform's service is down.
+    # Gossip endpoints to contact for updates while the platform's service is
+    # unavailable.
     seeds: list[EndpointSettings] = []
-    # Upstreams that this proxy reaches by another address than the
-    # configured one.
+    # Addresses of upstreams, by name, that this proxy uses in place of the
+    # configured ones.
     routes: dict[str, EndpointSettings] = {}
     owners_a_database: int = pydantic.Field(2, ge=1, le=5)
     heartbeat_ms: int = pydantic.Field(200, ge=20, le=5000)
--- a/topazring/proxy/sql_pool.py
+++ b/topazring/proxy/sql_pool.py
@@ -1,4 +1,4 @@
-"""Own the statement connections to one upstream."""
+"""Manage the connections to one upstream that execute statements."""
 
 import asyncio
 import collections
@@ -20,18 +20,19 @@
 Kind = requests.Kind
 Reason = outcomes.Reason
 CONNECT_TIMEOUT_S = 1.0
-# A busy connection is asked for a sign of life after so long, an idle one
-# less often: what goes silent while idle is found before it is used again.
+# Time without a message after which a ping is sent. Idle connections are
+# pinged too, less often, so that an unresponsive one is detected before it is
+# used again.
 BUSY_PING_MS = 250
 IDLE_PING_MS = 5000
 PONG_TIMEOUT_MS = 500
 
 
 class SqlConnection:
-    """Carry one statement at a time, and perhaps a transaction.
+    """Execute one statement at a time, possibly in a transaction.
 
-    After a timeout the connection is closed and never used again, so that a
-    late answer cannot reach another caller.
+    After a timeout the connection is closed and never reused, so that a late
+    answer cannot reach another caller.
     """
 
     def __init__(self, pool: 'SqlPool'):
@@ -46,7 +47,7 @@
         self.closed = False
 
     async def open(self) -> None:
-        """Connect, and run what waits for it."""
+        """Connect, then run the statement that is waiting, if any."""
         try:
             self.socket = await asyncio.wait_for(
                 websocket.websocket_connect(
@@ -68,7 +69,7 @@
             self.pool.release(self)
 
     def run(self, execute: messages.Execute) -> None:
-        """Run a statement, at once or when the connection is open."""
+        """Run a statement, immediately or once the connection is open."""
         self.execute = execute
         self.sent = False
         timeout_s = execute.timeout_ms / 1000
@@ -82,7 +83,7 @@
     def _write(self) -> None:
         execute = self.execute
         request = execute.request
-        ask = wire.SqlAsk(
+        message = wire.SqlAsk(
             execute.attempt,
             str(execute.kind),
             request.organisation,
@@ -97,7 +98,7 @@
         self.sent = True
         self.pinged_ms = 0
         self.last_received_ms = clock.monotonic_ms()
-        if not sockets.write_if_open(self.socket, wire.encode(ask)):
+        if not sockets.write_if_open(self.socket, wire.encode(message)):
             self.fail(Reason.CONNECTION_LOST)
 
     def _record_activity(self, data: bytes) -> None:
@@ -122,8 +123,8 @@
         self.pool.finish(execute, result)
 
     def _update_transaction(self, execute, result) -> None:
-        ran = isinstance(result, messages.Ran)
-        if execute.kind is Kind.BEGIN and ran:
+        has_run = isinstance(result, messages.Ran)
+        if execute.kind is Kind.BEGIN and has_run:
             self.transaction = execute.key
             self.pool.transactions[execute.key] = self
         elif execute.kind in (Kind.COMMIT, Kind.ROLLBACK):
@@ -131,7 +132,10 @@
             self.transaction = 0
 
     def fail(self, reason: Reason) -> None:
-        """Close for good; what was under way has an open fate."""
+        """Close the connection and report its statement as lost.
+
+        A statement that was sent may or may not have run.
+        """
         if self.closed:
             return
         self.closed = True
@@ -147,7 +151,7 @@
             )
 
     def tick(self, now_ms: int) -> None:
-        """Ask for a sign of life; close when none comes."""
+        """Send a ping when due; close the connection if it is unanswered."""
         if self.socket is None:
             return
         if self.pinged_ms:
@@ -163,7 +167,7 @@
 
 
 class SqlPool:
-    """Own up to `limit` connections to one upstream."""
+    """Manage up to `limit` connections to one upstream."""
 
     def __init__(
         self,
@@ -184,18 +188,18 @@
         self.closed = False
 
     def close(self) -> None:
-        """Close every connection; nothing is run from now on."""
+        """Close all connections and refuse further statements."""
         self.closed = True
         for connection in list(self.connections):
             connection.fail(Reason.CONNECTION_LOST)
 
     def warm(self, count: int) -> None:
-        """Open connections ahead of need: opening one takes its time."""
+        """Open connections in advance, because opening one takes time."""
         while len(self.connections) < min(count, self.limit):
             self._open(None)
 
     def run(self, execute: messages.Execute) -> None:
-        """Run a statement; its result is posted exactly once."""
+        """Run a statement and post its result exactly once."""
         if self.closed:
             lost = messages.ConnectionLost(Reason.DRAINING, False)
             self.finish(execute, lost)
@@ -229,11 +233,11 @@
         task.add_done_callback(self.tasks.discard)
 
     def release(self, connection: SqlConnection) -> None:
-        """Take back a connection for other statements."""
+        """Make a connection available for other statements."""
         self.idle.append(connection)
 
     def remove_connection(self, connection: SqlConnection) -> None:
-        """Drop a connection that was closed."""
+        """Remove a closed connection from the pool."""
         self.connections.discard(connection)
         with contextlib.suppress(ValueError):
             self.idle.remove(connection)
@@ -241,19 +245,19 @@
             self.transactions.pop(connection.transaction, None)
 
     def close_transaction(self, key: int) -> None:
-        """Roll a transaction back by closing its connection."""
+        """Roll back a transaction by closing its connection."""
         connection = self.transactions.get(key)
         if connection is not None:
             connection.fail(Reason.TRANSACTION_LOST)
 
     def finish(self, execute: messages.Execute, result) -> None:
-        """Post a result."""
+        """Post the result of a statement."""
         self.post(
             messages.Executed(execute.key, execute.attempt, self.name, result)
         )
 
     def tick(self, now_ms: int) -> None:
-        """Look after the connections."""
+        """Check each connection with a ping when due."""
         for connection in list(self.connections):
             connection.tick(now_ms)
 
