--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -103,7 +103,7 @@
 
     def test_cut_off_primary_goes_on(self):
         """It leads beside its successor until it reaches that."""
-        self.play(self.continues_transaction)
+        self.play(self.goes_on)
 
     async def goes_on(self):
         old, new, third = self.group.members
