--- a/topazring/platform/tests/fake_store.py
+++ b/topazring/platform/tests/fake_store.py
@@ -1,4 +1,4 @@
-"""Play the platform's store and its orders, for the tests."""
+"""Fake the platform's key-value store and promotion orders for tests."""
 
 import asyncio
 import base64
@@ -10,7 +10,7 @@
 
 
 class FakeStore:
-    """Hold items under one revision, leases and the orders given."""
+    """Hold items with a common revision, leases and received orders."""
 
     def __init__(self):
         self.revision = 0
@@ -20,25 +20,25 @@
         self.leases: dict[int, int] = {}
         self.next_lease = 100
         self.changed = asyncio.Condition()
-        # Answer everything with this code while it is set.
+        # HTTP status sent for every call while it is not zero.
         self.failure_code = 0
-        # The same for those who come by one port.
+        # The same for the calls to one port.
         self.failure_codes_by_port: dict[int, int] = {}
-        # Let answers wait for so long.
+        # Delay of each response.
         self.slow_s = 0.0
-        # Take calls and never answer them, also not when this is over.
+        # Accept calls but never answer them, not even once this is reset.
         self.is_unresponsive = False
-        # Carry writes out and never answer them.
+        # Carry out writes but do not answer them.
         self.loses_responses = False
         self.calls: list[str] = []
         self.orders: list[dict] = []
-        # Called with service and upstream of an accepted order.
+        # Called with the service and upstream of an accepted order.
         self.promote = lambda service, upstream: True
         self.highest_token = 0
         self.server: httpserver.HTTPServer | None = None
 
     def start(self, ports: list[int]) -> None:
-        """Listen."""
+        """Listen on the ports."""
         routes = [
             (r'/-/kv-key', Key),
             (r'/-/kv-range', Range),
@@ -61,7 +61,7 @@
         self.server.stop()
 
     async def put(self, key: str, value: str | None, lease: int = 0) -> int:
-        """Write or, with None, delete a value."""
+        """Write a value, or delete it if it is None; return the revision."""
         self.revision += 1
         if value is None:
             self.items.pop(key, None)
@@ -81,32 +81,32 @@
         return self.revision
 
     async def put_json(self, key: str, value: dict) -> int:
-        """Write a value as the operator and the upstreams do."""
+        """Write a value as JSON, as the operator and the upstreams do."""
         return await self.put(key, json.dumps(value))
 
     def renew(self, lease: int) -> None:
-        """Take in that a lease begins or is kept; none ends by itself."""
+        """Record a new or renewed lease; leases never expire here."""
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease with all that is written under it."""
+        """End a lease and delete the items written under it."""
         self.leases.pop(lease, None)
         for key, item in list(self.items.items()):
             if item['lease'] == lease:
                 await self.put(key, None)
 
     def compact_history(self) -> None:
-        """Drop the history: watches from before get 410."""
+        """Compact the history: watches from earlier revisions get 410."""
         self.history.clear()
         self.history_from = self.revision
 
 
 class _Handler(web.RequestHandler):
     def initialize(self, store: FakeStore) -> None:
-        """Take the store."""
+        """Set the store."""
         self.store = store
 
     async def prepare(self) -> None:
-        """Count the call, and fail it while the store does."""
+        """Record the call, and fail or delay it as configured."""
         self.store.calls.append(f'{self.request.method} {self.request.path}')
         if self.store.is_unresponsive:
             await asyncio.sleep(3600)
@@ -121,11 +121,11 @@
             self.finish()
 
     def body(self) -> dict:
-        """Return the request's body."""
+        """Return the decoded body of the request."""
         return json.loads(self.request.body)
 
-    async def answer(self, body: dict) -> None:
-        """Answer, unless answers are to be lost."""
+    async def respond(self, body: dict) -> None:
+        """Send the response, unless responses are to be lost."""
         if self.store.loses_responses:
             await asyncio.sleep(30)
         self.write(body)
@@ -144,10 +144,10 @@
 
 
 class Range(_Handler):
-    """Return items by prefix, three a page."""
+    """Return items by prefix, three per page."""
 
     def get(self) -> None:
-        """Return a page."""
+        """Return one page of items."""
         prefix = self.get_argument('path-prefix')
         after = self.get_argument('after', '')
         keys = sorted(
@@ -165,10 +165,10 @@
 
 
 class Watch(_Handler):
-    """Return what changed, waiting for the first change."""
+    """Return changes, waiting for the first one."""
 
     async def get(self) -> None:
-        """Return events or, when the history is gone, 410."""
+        """Return the events, or 410 if the history was compacted."""
         store = self.store
         prefix = self.get_argument('path-prefix')
         after = int(self.get_argument('after'))
@@ -185,9 +185,9 @@
                 and event['key'].startswith(prefix)
             ]
 
-        # Whether its time is over says nothing about events: a change may
-        # have come in that moment, and whoever is told its revision without
-        # it would never learn of it.
+        # The events are read again after a timeout: a change may have been
+        # written at that moment, and a client that receives its revision
+        # without the event would never receive the event.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s), store.changed:
                 await store.changed.wait_for(events)
@@ -197,10 +197,10 @@
 
 
 class Txn(_Handler):
-    """Write all or nothing."""
+    """Run a transaction: write all values or none."""
 
     async def post(self) -> None:
-        """Check what is expected, then write."""
+        """Check the expected revisions and leases, then write."""
         body = self.body()
         for row in body['expect']:
             item = self.store.items.get(row['key'])
@@ -216,26 +216,26 @@
         for put in body['puts']:
             value = base64.b64decode(put['value']).decode()
             await self.store.put(put['key'], value, put.get('lease', 0))
-        await self.answer({'revision': self.store.revision})
+        await self.respond({'revision': self.store.revision})
 
 
 class Lease(_Handler):
-    """Begin a lease."""
+    """Create a lease."""
 
     async def post(self) -> None:
-        """Return its number."""
+        """Return the id of the new lease."""
         self.store.next_lease += 1
         ttl_ms = self.body()['ttl-ms']
         self.store.leases[self.store.next_lease] = ttl_ms
         self.store.renew(self.store.next_lease)
-        await self.answer({'lease': self.store.next_lease, 'ttl-ms': ttl_ms})
+        await self.respond({'lease': self.store.next_lease, 'ttl-ms': ttl_ms})
 
 
 class Keep(_Handler):
     """Renew a lease."""
 
     def post(self, lease: str) -> None:
-        """Return its time or 404."""
+        """Return the lease's TTL, or 404."""
         ttl_ms = self.store.leases.get(int(lease))
         if ttl_ms is None:
             self.set_status(404)
@@ -248,15 +248,15 @@
     """End a lease."""
 
     async def delete(self, lease: str) -> None:
-        """End it."""
+        """End the lease."""
         await self.store.end_lease(int(lease))
 
 
 class Promote(_Handler):
-    """Take an order."""
+    """Receive a promotion order."""
 
     async def post(self) -> None:
-        """Check the token, then promote."""
+        """Check the fencing token, then promote the upstream."""
         store = self.store
         body = self.body()
         token = int(self.request.headers['X-Topazring-Fencing-Token'])
--- a/topazring/platform/tests/fake_upstreams.py
+++ b/topazring/platform/tests/fake_upstreams.py
@@ -1,4 +1,4 @@
-"""Play a service's upstreams on the platform's line protocol, for tests."""
+"""Fake the upstreams of a service on the platform's line protocol."""
 
 import asyncio
 import dataclasses
@@ -13,20 +13,21 @@
 
 @dataclasses.dataclass
 class Member:
-    """Hold one upstream's part and log."""
+    """Hold one upstream's role and log."""
 
     name: str
     port: int
     role: str
     term: int = 1
-    # Item and data of each commit; replicas receive at once.
+    # Item and data of each commit; replicas receive commits immediately.
     log: list[tuple[str, str]] = dataclasses.field(default_factory=list)
-    # The term of its last commit; a new primary's own is the first of its.
+    # Term of its last commit. A new primary's term appears here only after
+    # its first own commit.
     log_term: int = 1
     paused_for_term: int = 0
-    # Closes without an answer once a write was carried out.
+    # Whether it closes the connection after a write, without answering.
     loses_answers: bool = False
-    # How long a read takes, or waits for a slot.
+    # Duration of each read, including the wait for a slot.
     reads_take_s: float = 0.0
 
 
@@ -36,16 +37,16 @@
     def __init__(self):
         self.values: dict[str, str] = {}
         self.prepared: dict[str, str] = {}
-        # None outside a transaction, else whether it only reads.
+        # Whether the transaction is read-only; None outside a transaction.
         self.read_only: bool | None = None
         self.failed = False
-        # In which its transaction began.
+        # Term in which its transaction began.
         self.term = 0
         self.writes: list[tuple[str, str]] = []
 
 
 class FakeGroup:
-    """Own three upstreams that share their log."""
+    """Run upstreams whose logs are kept identical."""
 
     def __init__(self, service: str, ports: list[int]):
         self.service = service
@@ -53,11 +54,11 @@
         self.members[0].role = 'primary'
         self.servers: dict[str, Server] = {}
         self.signatures = itertools.count(1)
-        # Every statement that ran: id, text, values.
+        # Request id, text and session values of every statement that ran.
         self.ran: list[tuple[str, str, dict]] = []
 
     def start(self) -> None:
-        """Listen."""
+        """Start every upstream."""
         for member in self.members:
             self.listen(member)
 
@@ -68,27 +69,27 @@
         self.servers[member.name] = server
 
     def make_server(self, member: Member) -> 'Server':
-        """Return what speaks for a member."""
+        """Return a server for a member."""
         return Server(self, member)
 
     def close(self) -> None:
-        """End every upstream."""
+        """Stop every upstream."""
         for name in list(self.servers):
             self.crash(name)
 
     def crash(self, name: str) -> None:
-        """End one upstream with its connections."""
+        """Stop one upstream and close its connections."""
         server = self.servers.pop(name)
         server.stop()
         for stream in list(server.streams):
             stream.close()
 
     def primary(self) -> Member:
-        """Return the one that leads."""
+        """Return the member that is the primary."""
         return next(m for m in self.members if m.role == 'primary')
 
     def promote(self, service: str, name: str) -> bool:
-        """Make a member the primary of the next term."""
+        """Make a member the primary of the next term; return success."""
         if name not in self.servers or service != self.service:
             return False
         chosen = next(m for m in self.members if m.name == name)
@@ -105,7 +106,7 @@
         return True
 
     def entry(self, member: Member, **more) -> dict:
-        """Return what a member writes of itself to the store."""
+        """Return the entry that a member writes to the store."""
         return {
             'service': self.service,
             'address': f'127.0.0.1:{member.port}',
@@ -121,7 +122,7 @@
 
 
 class Server(tcpserver.TCPServer):
-    """Speak for one member."""
+    """Serve the connections of one member."""
 
     def __init__(self, group: FakeGroup, member: Member):
         super().__init__()
@@ -130,7 +131,7 @@
         self.streams: set[iostream.IOStream] = set()
 
     async def handle_stream(self, stream, address) -> None:
-        """Answer one connection, line by line."""
+        """Serve one connection, one line at a time."""
         self.streams.add(stream)
         try:
             await self._serve(stream)
@@ -150,25 +151,25 @@
             stream.close()
             return
         session = Session()
-        await stream.write(f'READY I {self._place()}\r\n'.encode())
+        await stream.write(f'READY I {self._position()}\r\n'.encode())
         while True:
             line = (await stream.read_until(b'\r\n')).decode().rstrip('\r\n')
             word, request_id, text = line.split(' ', 2)
             answer = await self._answer(session, request_id, text)
-            reads = text.startswith('READ')
-            await asyncio.sleep(self.member.reads_take_s if reads else 0)
+            is_read = text.startswith('READ')
+            await asyncio.sleep(self.member.reads_take_s if is_read else 0)
             if answer is None:
                 stream.close()
                 return
             state = 'I'
             if session.read_only is not None:
                 state = 'E' if session.failed else 'T'
-            answer.append(f'READY {state} {self._place()}')
+            answer.append(f'READY {state} {self._position()}')
             await stream.write(
                 b''.join(f'{part}\r\n'.encode() for part in answer)
             )
 
-    def _place(self) -> str:
+    def _position(self) -> str:
         return f'{self.member.log_term}.{len(self.member.log)}'
 
     async def _answer(
@@ -176,7 +177,7 @@
     ) -> list[str] | None:
         words = text.split(' ')
         if words[0] == 'AFTER':
-            if self._lacks(*words[1].split('.')):
+            if self._is_behind(*words[1].split('.')):
                 return ['ERROR LAGGING behind']
             words = words[2:]
         verb, rest = words[0].lower(), words[1:]
@@ -184,10 +185,10 @@
         answer = handler(session, request_id, rest)
         return await answer if inspect.isawaitable(answer) else answer
 
-    def _lacks(self, term: str, number: str) -> bool:
+    def _is_behind(self, term: str, number: str) -> bool:
         return int(number) > len(self.member.log)
 
-    def _signed(self, session: Session, request_id: str, words) -> str:
+    def _run_signed(self, session: Session, request_id: str, words) -> str:
         text = ' '.join(words)
         self.group.ran.append((request_id, text, dict(session.values)))
         return f'DONE {request_id}.{next(self.group.signatures)}'
@@ -217,7 +218,7 @@
         self._append(session.writes)
         session.read_only = None
         session.writes.clear()
-        return [self._signed(session, request_id, ['COMMIT'])]
+        return [self._run_signed(session, request_id, ['COMMIT'])]
 
     def _append(self, writes) -> None:
         for member in self.group.members:
@@ -228,12 +229,15 @@
     def _read(self, session, request_id, rest):
         rows = [f'ROW {d}' for i, d in self.member.log if i == rest[0]][-1:]
         rows += [f'ROW {d}' for i, d in session.writes if i == rest[0]][-1:]
-        return [*rows[-1:], self._signed(session, request_id, ['READ', *rest])]
+        return [
+            *rows[-1:],
+            self._run_signed(session, request_id, ['READ', *rest]),
+        ]
 
     def _write(self, session, request_id, rest):
         if self.member.role != 'primary':
             return self._refuse(session, 'READONLY')
-        done = self._signed(session, request_id, ['WRITE', *rest])
+        done = self._run_signed(session, request_id, ['WRITE', *rest])
         if session.read_only is not None:
             session.writes.append((rest[0], rest[1]))
             return [done]
@@ -264,7 +268,7 @@
         member = self.member
         row = (
             f'{member.role} {member.term} '
-            f'{self._place()} {member.paused_for_term}'
+            f'{self._position()} {member.paused_for_term}'
         )
         return [f'ROW {row} 0 0 {len(self.streams)}', 'DONE -']
 
--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -1,4 +1,4 @@
-"""Stage a soak: real proxies before our stand-ins for the platform."""
+"""Set up a soak test: real proxies with fakes of the platform."""
 
 import asyncio
 import contextlib
@@ -25,10 +25,17 @@
 PROBE_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 2.0
 SLOW_DELAY_S = 0.25
-_PROMISES = ('BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'TOOMANY')
-_UNKNOWN = ('UNKNOWN', 'TIMEOUT', 'FAILED')
+_NOT_RUN_CODES = (
+    'BUSY',
+    'ABORTED',
+    'LAGGING',
+    'READONLY',
+    'MISROUTED',
+    'TOOMANY',
+)
+_UNKNOWN_CODES = ('UNKNOWN', 'TIMEOUT', 'FAILED')
 Mode = link_faults.Mode
-# Forward, backward, delay, and which connections.
+# Modes of the two directions, delay in seconds, and affected connections.
 _LINKS = {
     'delayed': (Mode.PASS, Mode.PASS, 0.15, ''),
     'reset': (Mode.CUT, Mode.CUT, 0.0, ''),
@@ -44,42 +51,42 @@
 
 
 class Store(fake_store.FakeStore):
-    """Hold leases that end unless they are kept."""
+    """Expire leases that are not renewed."""
 
     def __init__(self):
         super().__init__()
-        self.kept_s: dict[int, float] = {}
-        # Whether leases stand still while nobody is served.
-        self.pausing = False
+        self.renewed_s: dict[int, float] = {}
+        # Whether leases do not expire while the store is unavailable.
+        self.pauses_leases = False
 
     def renew(self, lease: int) -> None:
-        """Take in that a lease begins or is kept."""
-        self.kept_s[lease] = time.monotonic()
+        """Record a new or renewed lease."""
+        self.renewed_s[lease] = time.monotonic()
 
     @property
     def is_away(self) -> bool:
-        """Say whether nobody is served."""
+        """Return whether the store is unavailable to all clients."""
         return bool(self.failure_code) or self.is_unresponsive
 
     async def end_leases(self) -> None:
-        """End each lease in its time, for ever."""
+        """End expired leases, forever."""
         while True:
             await asyncio.sleep(LEASE_TICK_S)
-            if self.is_away and self.pausing:
-                for lease in self.kept_s:
-                    self.kept_s[lease] += LEASE_TICK_S
+            if self.is_away and self.pauses_leases:
+                for lease in self.renewed_s:
+                    self.renewed_s[lease] += LEASE_TICK_S
             now_s = time.monotonic()
             for lease, ttl_ms in list(self.leases.items()):
-                if now_s - self.kept_s[lease] > ttl_ms / 1000:
+                if now_s - self.renewed_s[lease] > ttl_ms / 1000:
                     await self.end_lease(lease)
 
     def trouble(self, how: str, choice: float, ports: list[int]) -> None:
-        """Be in trouble; `well` ends it."""
+        """Inject a fault of the store; `well` ends it."""
         self.failure_code = 503 if how == 'down' else 0
         self.is_unresponsive = how == 'silent'
         self.slow_s = SLOW_DELAY_S if how == 'slow' else 0.0
         self.loses_responses = how == 'loses answers'
-        self.pausing = choice < 0.5
+        self.pauses_leases = choice < 0.5
         self.failure_codes_by_port.clear()
         if how == 'forgets':
             self.compact_history()
@@ -89,68 +96,70 @@
 
 
 class SessionClient(support.Caller):
-    """Speak one session, and hear what nobody asked for."""
+    """Hold one session and record unsolicited lines."""
 
     def __init__(self, reader, writer):
         super().__init__(reader, writer)
         self.unasked: list[str] = []
         self.lines: asyncio.Queue[str] = asyncio.Queue()
-        self.waits = False
+        self.is_waiting = False
         self.reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
         with contextlib.suppress(OSError):
             while line := await self.reader.readline():
                 text = line.decode().rstrip('\r\n')
-                # An error is allowed at any time, before a close.
-                if not self.waits and not text.startswith('ERROR'):
+                # The proxy may send an error at any time, before it closes.
+                if not self.is_waiting and not text.startswith('ERROR'):
                     self.unasked.append(text)
                 self.lines.put_nowait(text)
-        # The end.
+        # An empty line marks the end of the connection.
         self.lines.put_nowait('')
 
-    async def ask(self, line: str, *ends: str) -> list[str]:
-        """Send a line; return what is said up to one of the ends."""
-        self.waits = True
+    async def send_request(self, line: str, *ends: str) -> list[str]:
+        """Send a line; return the lines up to one that starts with an end."""
+        self.is_waiting = True
         self.writer.write(f'{line}\r\n'.encode())
-        said = []
-        while not said or not said[-1].startswith(ends):
-            said.append(await self.lines.get())
-            if not said[-1]:
-                raise stages.Ended(str(said))
-        self.waits = False
-        return said
+        received = []
+        while not received or not received[-1].startswith(ends):
+            received.append(await self.lines.get())
+            if not received[-1]:
+                raise stages.Ended(str(received))
+        self.is_waiting = False
+        return received
 
     async def say(self, ask: sightings.Ask) -> sightings.Answer:
-        """Return the answer; raise Ended without one."""
+        """Send a statement and return the answer; raise Ended without one."""
         text = f'{ask.verb.upper()} {ask.item} {ask.data}'.rstrip()
-        said = await self.ask(f'QUERY {ask.request_id} {text}', 'READY')
-        rows = tuple(line[4:] for line in said if line.startswith('ROW '))
-        word, _, rest = said[-2].partition(' ')
+        received = await self.send_request(
+            f'QUERY {ask.request_id} {text}', 'READY'
+        )
+        rows = tuple(line[4:] for line in received if line.startswith('ROW '))
+        word, _, rest = received[-2].partition(' ')
         if word == 'DONE':
             return sightings.Answer(sightings.Kind.DONE, rest, rows)
         code = rest.partition(' ')[0]
         kind = sightings.Kind.REJECTED
-        if code in _PROMISES:
+        if code in _NOT_RUN_CODES:
             kind = sightings.Kind.NOT_RUN
-        elif code in _UNKNOWN:
+        elif code in _UNKNOWN_CODES:
             kind = sightings.Kind.UNKNOWN
         return sightings.Answer(kind, rows=rows, detail=rest)
 
     def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self.reading.cancel()
         super().close()
 
 
 class Links:
-    """Own links, each before one port."""
+    """Run fault-injecting links, each in front of one port."""
 
     def __init__(self):
         self.links: dict[str, link_faults.Link] = {}
 
     async def open(self, name: str, target_port: int) -> int:
-        """Return the port to reach a target by, the same each time."""
+        """Return the port of the link to a target, opening it if necessary."""
         if name not in self.links:
             config = link_settings.LinkSettings(
                 name=name, port=ports.free(), target_port=target_port
@@ -160,19 +169,20 @@
         return self.links[name].config.port
 
     async def end(self, name: str) -> None:
-        """End a link."""
+        """Close a link."""
         self.mend(name)
         await self.links.pop(name).close()
 
     def trouble(self, name: str, how: str) -> None:
-        """Put a link in trouble, if it is still there."""
+        """Inject a fault into a link, if it still exists."""
         if name in self.links:
             self.links[name].set_modes(*_LINKS[how])
 
     def mend(self, name: str) -> None:
-        """Have a link pass again, but not where an answer was lost.
+        """End the fault of a link.
 
-        Those connections stay silent: the rest would be taken for it.
+        Connections that dropped an answer stay silent: a later answer would
+        be mistaken for the dropped one.
         """
         link = self.links.get(name)
         pipes = link.pipes if link else ()
@@ -184,7 +194,7 @@
 
 
 class Stage:
-    """Own everything that a soak starts."""
+    """Run everything that a soak test needs."""
 
     def __init__(
         self, schedule: schedules.Schedule, proxies: int, folder: str
@@ -206,14 +216,14 @@
         self.tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Start everything, and wait until it is ready."""
+        """Start everything and wait until it is ready."""
         store_ports = ports.free_many(self.proxies)
         self.store.start(store_ports)
         for number, port in enumerate(store_ports, start=1):
             name = f'p{number}'
-            door = await self.links.open(f'{name}/service', port)
-            mine = ports.free_many(4)
-            proxy = support.Proxy(name, door, self.folder, mine)
+            link_port = await self.links.open(f'{name}/service', port)
+            own_ports = ports.free_many(4)
+            proxy = support.Proxy(name, link_port, self.folder, own_ports)
             self.instances.append(proxy)
         for proxy in self.instances:
             self.rewrite_settings(proxy)
@@ -226,7 +236,7 @@
         self.rotation = list(self.instances)
 
     async def close(self) -> None:
-        """End everything that was started, and nothing else."""
+        """Stop the processes, tasks and links started here, and only these."""
         for task in self.tasks:
             task.cancel()
         for process in [p for each in self.instances for p in each.started]:
@@ -236,16 +246,16 @@
         self.upstreams.close()
         for name in list(self.links.links):
             await self.links.end(name)
-        # Let the connections find out that they are closed.
+        # Give the connections time to detect that they are closed.
         await asyncio.sleep(LEASE_TICK_S)
         self.store.close()
 
     def logs(self) -> list[pathlib.Path]:
-        """Return the files that the proxies log to."""
+        """Return the log files of the proxies."""
         return [proxy.log for proxy in self.instances]
 
     def final_log(self) -> list[sightings.Entry]:
-        """Return the log that leads."""
+        """Return the log of the primary."""
         return self.upstreams.group.primary().log
 
     # ---- callers ----
@@ -254,13 +264,13 @@
         self, instance: support.Proxy, database: str
     ) -> SessionClient:
         """Start a session; raise Ended if it is refused."""
-        talk, said = await self._greet(instance, database)
-        if said.startswith('READY'):
+        talk, received = await self._open_session(instance, database)
+        if received.startswith('READY'):
             return talk
         talk.close()
-        raise stages.Ended(said)
+        raise stages.Ended(received)
 
-    async def _greet(
+    async def _open_session(
         self, instance: support.Proxy, database: str
     ) -> tuple[SessionClient, str]:
         talk = None
@@ -269,15 +279,17 @@
                 talk = SessionClient(
                     *await asyncio.open_connection(HOST, instance.caller_port)
                 )
-                said = await talk.ask(f'START {database} me', 'READY', 'ERROR')
-            return talk, said[0]
+                received = await talk.send_request(
+                    f'START {database} me', 'READY', 'ERROR'
+                )
+            return talk, received[0]
         except OSError as error:
             if talk is not None:
                 talk.close()
             raise stages.Ended('no greeting') from error
 
     async def _balance(self, proxy: support.Proxy) -> None:
-        """Take a proxy in and out of rotation as the platform does."""
+        """Probe a proxy, update the rotation, and restart it after a crash."""
         misses = 0
         while True:
             ready = False
@@ -300,14 +312,14 @@
     # ---- the operator ----
 
     def rewrite_settings(self, instance: support.Proxy) -> None:
-        """Write an instance's settings anew."""
+        """Rewrite the settings file of an instance."""
         seeds = [f'{HOST}:{p.peer_port}' for p in self.instances]
         instance.write_settings(seeds)
 
     async def configure(self) -> None:
-        """Have the operator write a version with a route of its own.
+        """Write a new configuration version that has a route of its own.
 
-        The route of the version before is dropped.
+        The route specific to the previous version is removed.
         """
         self.version += 1
         routes = [support.route(f'v{self.version}', 'primary')]
@@ -340,31 +352,31 @@
             await asyncio.gather(*asking, asyncio.sleep(PROBE_INTERVAL_S))
 
     async def _probe(self, proxy: support.Proxy, version: int) -> None:
-        """Ask an instance for a database that only a version has."""
+        """Record whether an instance serves the database of one version."""
         asked_ms, process = stages.now_ms(), proxy.process
         try:
-            talk, said = await self._greet(proxy, f'v{version}')
+            talk, received = await self._open_session(proxy, f'v{version}')
         except stages.Ended:
             return
         talk.close()
-        taken = said.startswith('READY')
-        answered = taken or said.startswith('ERROR NODB')
+        taken = received.startswith('READY')
+        answered = taken or received.startswith('ERROR NODB')
         if answered and process is proxy.process:
             now = stages.now_ms()
             probed = (now, asked_ms, proxy.name, version, taken)
             self.oracle.note(sightings.Probed(*probed))
 
-    # ---- trouble ----
+    # ---- faults ----
 
     async def trouble(
         self, part: str, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
-        """Trouble upstreams, the store or a link, until that is over."""
+        """Inject a fault into upstreams, store or a link; wait for its end."""
         if part == 'service':
-            doors = [proxy.store_port for proxy in self.instances]
-            self.store.trouble(how, choice, doors)
+            store_ports = [proxy.store_port for proxy in self.instances]
+            self.store.trouble(how, choice, store_ports)
             await asyncio.sleep(for_ms / 1000)
-            self.store.trouble('well', choice, doors)
+            self.store.trouble('well', choice, store_ports)
         elif part == 'links':
             names = sorted(self.links.links)
             name = names[int(choice * len(names))]
--- a/topazring/platform/tests/soak_upstreams.py
+++ b/topazring/platform/tests/soak_upstreams.py
@@ -1,4 +1,4 @@
-"""Release the soak's upstreams, list them, and have them fail."""
+"""Replace, list and disturb the upstreams of a soak test."""
 
 import asyncio
 import collections.abc
@@ -11,19 +11,20 @@
 
 UPSTREAMS = 3
 MAX_MEMBERS = 6
-# An upstream says that it drains this long after its successor is listed.
+# Time between the listing of a replacement and the old upstream's draining.
 DRAIN_DELAY_S = 0.4
 DRAIN_S = 7.2
-# It goes on for many seconds at the most, if it still leads.
+# Maximum further time that a draining upstream stays while it is still the
+# primary.
 MAX_STAY_S = 15.0
 RETRY_S = 0.3
-# Three heartbeats of an upstream.
+# Three heartbeat intervals of an upstream.
 ENTRY_TIMEOUT_S = 3.0
 Member = synchronous_upstreams.Member
 
 
 class Upstreams:
-    """Play a group, its entries in the store, and what befalls it."""
+    """Run a group, maintain its store entries and inject its faults."""
 
     def __init__(self, store, links, note, promote_ms: float):
         self.store = store
@@ -36,20 +37,20 @@
         self.listing: set[asyncio.Task] = set()
 
     async def start(self) -> None:
-        """Start the first members, and list them."""
+        """Start and list the initial members."""
         self.group.start()
         for member in self.group.members:
             await self._list(member)
 
     def close(self) -> None:
-        """End all."""
+        """Stop everything."""
         for task in self.listing:
             task.cancel()
         self.group.close()
 
     async def _list(self, member: Member, listed: bool = True) -> None:
-        """Write a member's entry as it is, once the store takes it."""
-        door = await self.links.open(member.name, member.port)
+        """Update a member's store entry once the store is available."""
+        link_port = await self.links.open(member.name, member.port)
         member.listed = listed
         while self.store.is_away:
             await asyncio.sleep(RETRY_S / 10)
@@ -59,7 +60,7 @@
         elif member.listed and not member.is_down:
             state = 'draining' if member.leaving else 'ready'
             more = {'state': state, 'born': member.born_ms}
-            address = f'127.0.0.1:{door}'
+            address = f'127.0.0.1:{link_port}'
             entry = self.group.entry(member, address=address, **more)
             await self.store.put_json(key, entry)
 
@@ -70,7 +71,7 @@
             task.add_done_callback(self.listing.discard)
 
     def promote(self, service: str, name: str) -> bool:
-        """Take an order that the store has let pass."""
+        """Record and carry out an order that the store has accepted."""
         order = self.store.orders[-1]
         fields = (name, order['holder'], order['token'])
         self.note(sightings.Ordered(stages.now_ms(), *fields))
@@ -84,12 +85,12 @@
             and all(getattr(member, k) == v for k, v in where.items())
         ]
 
-    # ---- trouble ----
+    # ---- faults ----
 
     async def trouble(
         self, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
-        """Have something befall the group, and wait until it is over."""
+        """Inject a fault into the group and wait until it has ended."""
         primary = self.group.primary()
         replicas = self._listed(role='replica')
         listed = self._listed()
@@ -108,14 +109,14 @@
             case 'silence':
                 await self._silence(member, for_ms)
             case 'deafen':
-                # One replica, or all of them.
+                # Affects one replica or all of them.
                 some = replicas[int(choice * 10) % 2 :][:1]
                 self._deafen(some if choice < 0.7 else replicas, for_ms)
             case 'isolate':
                 await self._isolate(for_ms)
 
     async def _release(self, choice: float, unlisted_ms: float) -> None:
-        """Have a new replica start, be listed late, and an old one leave."""
+        """Start a replica, list it with a delay, and drain an old member."""
         staying = self._listed(leaving=False)
         if len(self.group.members) >= MAX_MEMBERS or not staying:
             return
@@ -137,12 +138,12 @@
                 or not self.group.is_replicated_elsewhere(old)
             ):
                 await asyncio.sleep(RETRY_S)
-        self.group.end(old)
+        self.group.remove_member(old)
         await self._list(old, listed=False)
         await self.links.end(old.name)
 
     async def _release_in_turn(self, choice: float, gap_ms: int) -> None:
-        """Replace several, each before the last one has gone."""
+        """Replace several members, each before the previous one has left."""
         releasing = []
         for turn in range(2 + int(choice * 10) % 2):
             one = self._release((choice + turn * 0.37) % 1, gap_ms)
@@ -153,7 +154,7 @@
     async def _release_beside_deaf(
         self, choice: float, for_ms: int, gap_ms: int
     ) -> None:
-        """Have only the unlisted new replica receive; lose the primary."""
+        """Lose the primary while only an unlisted new replica receives."""
         releasing = asyncio.create_task(self._release(choice, 900 + gap_ms))
         await asyncio.sleep(0.15)
         self._deafen(self._listed(role='replica'), for_ms + 1500)
@@ -167,9 +168,10 @@
     async def _crash(
         self, member: Member, for_ms: int, empty: bool = False
     ) -> None:
-        """End an upstream; it is back later, with its log or empty.
+        """Crash an upstream and restart it later, with its log or empty.
 
-        Nothing may go with it that cannot be had from anyone else.
+        Does nothing if entries could be lost: while another member is down,
+        or if no other member has the whole log that would be emptied.
         """
         if any(each.is_down for each in self.group.members):
             return
@@ -196,7 +198,7 @@
         self._changed(member)
 
     async def _isolate(self, for_ms: int) -> None:
-        """Cut the primary off from the listed ones, with those that start."""
+        """Partition the primary and unlisted members from the listed ones."""
         primary = self.group.primary()
         others = [each for each in self._listed() if each is not primary]
         pairs = {
--- a/topazring/platform/tests/support.py
+++ b/topazring/platform/tests/support.py
@@ -1,4 +1,4 @@
-"""Run pooling proxies as processes before fake upstreams and a store."""
+"""Run pooling proxies as processes with fake upstreams and a fake store."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 SERVICE = 'calc-db'
 STARTUP_TIMEOUT_S = 15.0
 
-# The fake store is asked many times a second, and fails on purpose.
+# Tests call the fake store many times per second and make it fail on purpose.
 logging.getLogger('tornado.access').setLevel(logging.CRITICAL)
 
 
@@ -40,7 +40,7 @@
 
 
 class Caller:
-    """Speak one session."""
+    """Hold one session on the line protocol."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -49,40 +49,40 @@
 
     @classmethod
     async def connect(cls, port: int, database: str) -> 'Caller':
-        """Start a session."""
+        """Connect and start a session."""
         caller = cls(*await asyncio.open_connection('127.0.0.1', port))
-        caller.greeting = await caller.say(f'START {database} me')
+        caller.greeting = await caller.send_line(f'START {database} me')
         return caller
 
-    async def say(self, line: str) -> list[str]:
-        """Send a line; return the lines of its answer."""
+    async def send_line(self, line: str) -> list[str]:
+        """Send a line and return the lines of the answer."""
         self.writer.write(line.encode() + b'\r\n')
-        return await self.answer()
+        return await self.read_answer()
 
-    async def answer(self) -> list[str]:
-        """Return the lines up to READY, or to the end."""
-        said = []
+    async def read_answer(self) -> list[str]:
+        """Return the lines up to READY or the end of the connection."""
+        received = []
         while True:
             async with asyncio.timeout(5):
                 line = (await self.reader.readline()).decode().rstrip('\r\n')
             if not line:
-                return said
-            said.append(line)
+                return received
+            received.append(line)
             if line.startswith('READY'):
-                return said
+                return received
 
     async def query(self, text: str) -> list[str]:
-        """Send a statement under a new id."""
+        """Send a statement with a new request id; return the answer."""
         self.ids += 1
-        return await self.say(f'QUERY q{id(self)}x{self.ids} {text}')
+        return await self.send_line(f'QUERY q{id(self)}x{self.ids} {text}')
 
     def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         self.writer.close()
 
 
 class Proxy:
-    """Own one process."""
+    """Run one proxy as a process."""
 
     def __init__(
         self, name: str, store_port: int, folder: str, ports: list[int]
@@ -124,7 +124,7 @@
             raise AssertionError(f'{self.name} is not ready') from None
 
     async def restart(self) -> None:
-        """Start the process, unless it runs or is being started."""
+        """Start the process unless it is running or being started."""
         async with self.starting:
             if self.process is None or self.process.returncode is not None:
                 await self._spawn()
@@ -143,15 +143,15 @@
             )
 
     async def is_ready(self) -> bool:
-        """Ask as the balancer does."""
+        """Return whether the readiness probe of the balancer succeeds."""
         return (await self.get('/-/ready')).startswith('HTTP/1.1 200')
 
     async def is_listening(self) -> bool:
-        """Say whether the process answers at all."""
+        """Return whether the process answers probes, whatever the status."""
         return bool(await self.get('/-/ready'))
 
     async def get(self, path: str) -> str:
-        """Return a response of the probe's address."""
+        """Return a response from the probe address, empty if there is none."""
         try:
             reader, writer = await asyncio.open_connection(
                 '127.0.0.1', self.ready_port
@@ -167,7 +167,7 @@
         return ''
 
     def events(self) -> list[dict]:
-        """Return what the process logged."""
+        """Return the events that the process logged."""
         lines = self.log.read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith('{')]
 
@@ -180,20 +180,20 @@
 
 
 async def wait_until(holds, within_s: float = 5.0) -> None:
-    """Wait until a condition holds."""
+    """Wait until a condition holds; raise TimeoutError otherwise."""
     async with asyncio.timeout(within_s):
         while not await holds():
             await asyncio.sleep(0.02)
 
 
 class PlatformTestCase(testtools.TestCase):
-    """Give each test a store, a group, and proxies."""
+    """Provide each test with a store, a group and proxies."""
 
-    # What an upstream takes from all proxies together.
+    # Connections that an upstream accepts from all proxies together.
     max_connections = 23
 
     def run_on_platform(self, steps, proxies: int = 1) -> None:
-        """Run `steps(self)` with everything started."""
+        """Run `steps` with everything started."""
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(self._run(steps, proxies, folder))
 
@@ -231,7 +231,7 @@
             self.store.close()
 
     async def configure(self, version: int, *routes: dict) -> None:
-        """Have the operator write a configuration."""
+        """Write a configuration as the operator does."""
         await self.store.put_json(
             'op/config',
             {
@@ -251,16 +251,16 @@
         )  # fmt: skip
 
     async def list_upstreams(self, **more) -> None:
-        """Have every upstream write its entry."""
+        """Write the store entries of every upstream."""
         for member in self.group.members:
             entry = self.group.entry(member, **more.get(member.name, {}))
             await self.store.put_json(f'servers/{member.name}', entry)
 
     def promote(self, service: str, name: str) -> bool:
-        """Carry an order out, and have a new primary say so.
+        """Carry out an order and update the entries if the primary changed.
 
-        An order for the present primary changes nothing. If the entries were
-        written anew for it, they would undo what a test has just listed.
+        An order for the current primary changes nothing. Rewriting the
+        entries for it would overwrite those that a test has just listed.
         """
         before = self.group.primary()
         done = self.group.promote(service, name)
@@ -269,6 +269,6 @@
         return done
 
     async def session(self, database: str, proxy: int = 0) -> Caller:
-        """Start a session at a proxy."""
+        """Start a session at one of the proxies."""
         port = self.proxies[proxy].caller_port
         return await Caller.connect(port, database)
--- a/topazring/platform/tests/synchronous_upstreams.py
+++ b/topazring/platform/tests/synchronous_upstreams.py
@@ -1,7 +1,7 @@
-"""Play a group with synchronous replicas, logs and terms, on sockets.
+"""Simulate a group with synchronous replicas, logs and terms, on sockets.
 
 A commit is answered once a replica has received it. Members receive nothing
-while they are paused, deaf, dark, or cut off from the primary.
+while they are paused, deaf, down, or partitioned from the primary.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 Entry = sightings.Entry
 Verb = statements.Verb
 
-# A replaced primary that could not reach its successor leads on for so long
-# once it can.
+# Time for which a replaced primary that was cut off from its successor still
+# acts as primary after it can reach the successor again.
 STEP_DOWN_MS = 1000
 TICK_S = 0.03
 MAX_DELAY_MS = 6.0
@@ -27,38 +27,39 @@
 
 
 def now_ms() -> float:
-    """Return the steady clock."""
+    """Return the monotonic clock in milliseconds."""
     return time.monotonic() * 1000
 
 
 @dataclasses.dataclass
 class Member(fake_upstreams.Member):
-    """Hold one upstream."""
+    """Hold one upstream with its log and faults."""
 
     log: list[Entry] = dataclasses.field(default_factory=list)
-    # Of the log so many entries are applied.
+    # Number of log entries that are applied.
     applied: int = 0
     lag_ms: float = 10.0
     deaf_until_ms: float = 0.0
-    # Its process or machine is gone, its log is not.
+    # Whether its process or machine is down; its log is retained.
     is_down: bool = False
     listed: bool = False
     leaving: bool = False
     born_ms: int = 1
-    # Since when a replaced primary could learn that it is.
+    # Time since which a replaced primary has been able to reach its
+    # successor.
     superseded_since_ms: float | None = None
-    # Term, number and waiter of each commit that no replica received yet.
+    # Term, position and waiter of each commit that no replica has received.
     waiting: list[tuple[int, int, asyncio.Future]] = dataclasses.field(
         default_factory=list
     )
 
-    def place(self, upto: int) -> str:
-        """Return the place of an entry."""
+    def position_text(self, upto: int) -> str:
+        """Return the log position of an entry as text."""
         return f'{self.log[upto - 1].term}.{upto}' if upto else '0.0'
 
 
 class Group(fake_upstreams.FakeGroup):
-    """Own upstreams, each with a log of its own."""
+    """Run upstreams that each have a log of their own."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         self.items: dict[str, list[tuple[Entry, str]]] = (
             collections.defaultdict(list)
         )
-        # Called with a member whose entry changes.
+        # Called with each member whose store entry has to be updated.
         self.changed: collections.abc.Callable[[Member], None] = print
         self.ticking: asyncio.Task | None = None
         first = Entry(1, 1, '')
@@ -86,27 +87,30 @@
         ]
 
     def start(self) -> None:
-        """Listen, and begin to replicate."""
+        """Start every upstream and the replication."""
         super().start()
         leader = self.members[0]
         self.note(sightings.Led(now_ms(), leader.name, 1, leader.log))
         self.ticking = asyncio.create_task(self._tick())
 
     def close(self) -> None:
-        """End every upstream."""
+        """Stop the replication and every upstream."""
         self.ticking.cancel()
         super().close()
 
     def make_server(self, member: Member) -> fake_upstreams.Server:
-        """Return what speaks for a member."""
+        """Return a server for a member."""
         return Server(self, member)
 
     def member(self, name: str) -> Member | None:
-        """Return a member, None if it is gone."""
+        """Return a member, or None if it was removed."""
         return next((m for m in self.members if m.name == name), None)
 
     def primary(self) -> Member:
-        """Return the one that leads the newest term, or was to."""
+        """Return the primary of the newest term.
+
+        Without any primary, returns a member with the newest term.
+        """
         leading = [m for m in self.members if m.role == 'primary']
         return max(leading or self.members, key=lambda m: m.term)
 
@@ -121,16 +125,16 @@
             await asyncio.sleep(TICK_S)
 
     def call_after(self, after_ms: float, step, *arguments) -> None:
-        """Do something after a while."""
+        """Call `step` after a delay."""
         loop = asyncio.get_running_loop()
         loop.call_later(after_ms / 1000, step, *arguments)
 
     def delay_ms(self) -> float:
-        """Return how long a message between members takes."""
+        """Return a random delay for a message between members."""
         return self.rng.uniform(0.5, MAX_DELAY_MS)
 
     def replicate(self, primary: Member) -> None:
-        """Send the log to all others."""
+        """Send the log to all members that are behind."""
         for member in self.members:
             behind = len(member.log) < len(primary.log)
             if member is not primary and (
@@ -141,7 +145,7 @@
                 )
 
     def is_cut(self, one: Member, other: Member) -> bool:
-        """Say whether two members do not reach each other."""
+        """Return whether two members cannot reach each other."""
         pair = frozenset((one.name, other.name))
         return one.is_down or other.is_down or pair in self.cut_pairs
 
@@ -152,7 +156,9 @@
             return
         if now_ms() < member.deaf_until_ms or self.is_cut(primary, member):
             return
-        if member.term > primary.term or self._follows_newer(member, primary):
+        if member.term > primary.term or self._reaches_newer_primary(
+            member, primary
+        ):
             return
         same = member.term == primary.term
         if same and len(member.log) >= len(primary.log):
@@ -166,7 +172,7 @@
             member.lag_ms, self._apply, member, member.log, received
         )
 
-    def _follows_newer(self, member: Member, primary: Member) -> bool:
+    def _reaches_newer_primary(self, member: Member, primary: Member) -> bool:
         return any(
             other.role == 'primary'
             and other.term > primary.term
@@ -181,16 +187,16 @@
     def _confirm(self, primary: Member, upto: int) -> None:
         if primary.role != 'primary' or primary.is_down:
             return
-        left = []
+        remaining = []
         for term, number, waiter in primary.waiting:
             if term != primary.term or number > upto:
-                left.append((term, number, waiter))
+                remaining.append((term, number, waiter))
             elif not waiter.done():
                 waiter.set_result(True)
-        primary.waiting = left
+        primary.waiting = remaining
 
     def truncate_log(self, other: Member, primary: Member) -> None:
-        """Roll a member back to what it shares with its primary."""
+        """Truncate a member's log to the prefix shared with its primary."""
         shared = min(len(other.log), len(primary.log))
         while shared and other.log[shared - 1] is not primary.log[shared - 1]:
             shared -= 1
@@ -200,7 +206,10 @@
     async def append(
         self, member: Member, request_id: str, writes: list[tuple[str, str]]
     ) -> bool:
-        """Commit; return once a replica has it, False if none will."""
+        """Commit; return whether a replica has received the entry.
+
+        Waits until one has, or until the member stops being the primary.
+        """
         number = len(member.log) + 1
         entry = Entry(member.term, number, request_id, tuple(writes))
         self.note(sightings.Committed(now_ms(), member.name, entry))
@@ -214,7 +223,7 @@
         return await waiter
 
     def read(self, member: Member, item: str) -> str | None:
-        """Return an item's value as a member has applied it."""
+        """Return an item's value in the applied state of a member."""
         for entry, data in reversed(self.items[item]):
             at = entry.position
             if at <= member.applied and member.log[at - 1] is entry:
@@ -230,7 +239,10 @@
     # ---- promotion ----
 
     def promote(self, service: str, name: str) -> bool:
-        """Have a member lead the next term, some hundred ms later."""
+        """Make a member the next primary after `promote_ms`.
+
+        Returns whether the order is accepted.
+        """
         member = self.member(name)
         if member is None or member.is_down or service != self.service:
             return False
@@ -251,7 +263,7 @@
             if other is member:
                 continue
             if other.role == 'primary':
-                self._replace(other, member)
+                self._demote_replaced(other, member)
             elif not self.is_cut(other, member):
                 self.truncate_log(other, member)
                 other.paused_for_term = 0
@@ -263,15 +275,15 @@
         self.changed(member)
         self.replicate(member)
 
-    def _replace(self, old: Member, successor: Member) -> None:
+    def _demote_replaced(self, old: Member, successor: Member) -> None:
         if self.is_cut(old, successor):
-            # It goes on until it learns of its successor.
+            # It stays primary until it can reach its successor.
             old.superseded_since_ms = None
             return
         self.become_replica(old)
 
     def become_replica(self, old: Member) -> None:
-        """End a lead; nothing that waits is confirmed any more."""
+        """Demote a primary; its waiting commits fail."""
         old.role = 'replica'
         old.superseded_since_ms = None
         self._fail_waiting(old)
@@ -288,10 +300,10 @@
         elif now_ms() - old.superseded_since_ms >= STEP_DOWN_MS:
             self.become_replica(old)
 
-    # ---- coming and going ----
+    # ---- membership and crashes ----
 
     def add_replica(self, port: int) -> Member:
-        """Start a new replica, which nobody has heard of."""
+        """Start a new replica that is not listed yet."""
         name = f'i-{port}'
         member = Member(name, port, 'replica', term=0, born_ms=_wall_ms())
         self.members.append(member)
@@ -299,13 +311,13 @@
         self.replicate(self.primary())
         return member
 
-    def end(self, member: Member) -> None:
-        """End a member for good; its log is gone with it."""
+    def remove_member(self, member: Member) -> None:
+        """Remove a member and its log permanently."""
         self.crash(member.name)
         self.members.remove(member)
 
     def crash(self, name: str) -> None:
-        """End one upstream with its connections."""
+        """Crash one upstream and close its connections."""
         member = self.member(name)
         member.is_down = True
         self._fail_waiting(member)
@@ -313,7 +325,7 @@
             super().crash(name)
 
     def restart_member(self, member: Member, empty: bool = False) -> None:
-        """Start a crashed member again, with its log or without."""
+        """Restart a crashed member, with its log or with an empty one."""
         member.is_down = False
         member.paused_for_term = 0
         if empty:
@@ -326,7 +338,7 @@
         self.changed(member)
 
     def is_replicated_elsewhere(self, member: Member) -> bool:
-        """Say whether another that stays holds all that a member does."""
+        """Return whether a listed, staying member has all of its log."""
         return any(
             other is not member
             and other.listed
@@ -342,19 +354,19 @@
 
 
 class Server(fake_upstreams.Server):
-    """Speak for one member."""
+    """Serve the connections of one member."""
 
-    def _place(self) -> str:
-        return self.member.place(self.member.applied)
+    def _position(self) -> str:
+        return self.member.position_text(self.member.applied)
 
-    def _lacks(self, term: str, number: str) -> bool:
+    def _is_behind(self, term: str, number: str) -> bool:
         member, at = self.member, int(number)
         if at == 0:
             return False
-        held = at <= member.applied
-        return not held or member.log[at - 1].term != int(term)
+        is_applied = at <= member.applied
+        return not is_applied or member.log[at - 1].term != int(term)
 
-    def _ran(
+    def _record_run(
         self,
         session: fake_upstreams.Session,
         ask: sightings.Ask,
@@ -381,7 +393,7 @@
         )
         return f'DONE {signature}'
 
-    def _has_lost_lead(self, session: fake_upstreams.Session) -> bool:
+    def _has_lost_leadership(self, session: fake_upstreams.Session) -> bool:
         lost = self.member.role != 'primary'
         return lost or session.term != self.member.term
 
@@ -394,14 +406,14 @@
             return ['ERROR MALFORMED the transaction failed']
         if self.group.rng.random() < BUSY_SHARE:
             return self._refuse(session, 'BUSY')
-        if session.read_only is False and self._has_lost_lead(session):
+        if session.read_only is False and self._has_lost_leadership(session):
             return self._refuse(session, 'READONLY')
         data = self.group.read(self.member, rest[0])
         written = [d for i, d in session.writes if i == rest[0]]
         data = written[-1] if written else data
         rows = () if data is None else (data,)
         ask = sightings.Ask(request_id, Verb.READ, rest[0])
-        done = self._ran(session, ask, rows)
+        done = self._record_run(session, ask, rows)
         return [*(f'ROW {row}' for row in rows), done]
 
     async def _write(self, session, request_id, rest):
@@ -411,36 +423,38 @@
             return self._refuse(session, 'BUSY')
         inside = session.read_only is not None
         if self.member.role != 'primary' or (
-            inside and self._has_lost_lead(session)
+            inside and self._has_lost_leadership(session)
         ):
             return self._refuse(session, 'READONLY')
         write = (rest[0], rest[1])
         ask = sightings.Ask(request_id, Verb.WRITE, *write)
-        done = self._ran(session, ask)
+        done = self._record_run(session, ask)
         if inside:
             session.writes.append(write)
             return [done]
-        kept = await self.group.append(self.member, request_id, [write])
-        return [done] if kept else None
+        replicated = await self.group.append(self.member, request_id, [write])
+        return [done] if replicated else None
 
     async def _commit(self, session, request_id, rest):
         if session.failed or session.read_only is None:
             return ['ERROR MALFORMED no transaction']
         writes = list(session.writes)
-        if writes and self._has_lost_lead(session):
+        if writes and self._has_lost_leadership(session):
             return self._refuse(session, 'READONLY')
         ask = sightings.Ask(request_id, Verb.COMMIT)
-        done = self._ran(session, ask)
+        done = self._record_run(session, ask)
         session.read_only = None
         session.writes.clear()
         if writes:
-            kept = await self.group.append(self.member, request_id, writes)
-            return [done] if kept else None
+            replicated = await self.group.append(
+                self.member, request_id, writes
+            )
+            return [done] if replicated else None
         return [done]
 
     def _status(self, session, request_id, rest):
         member = self.member
-        received = member.place(len(member.log))
+        received = member.position_text(len(member.log))
         row = (
             f'{member.role} {member.term} {received} {member.paused_for_term}'
         )
--- a/topazring/platform/tests/test_caller.py
+++ b/topazring/platform/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""Serve one caller over a real socket, with the process faked round it."""
+"""Test a caller's task over a real socket, with a fake host process."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 def _connected() -> tuple[socket.socket, socket.socket]:
-    """Return both ends of a connection."""
+    """Return the two ends of a connection."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         far = socket.create_connection(listener.getsockname())
         near, _ = listener.accept()
@@ -25,7 +25,7 @@
 
 
 class Host:
-    """Hold what a session needs of its process, and play its group."""
+    """Fake the process that hosts a session, and its group."""
 
     def __init__(self):
         self.codec = caller_codec.CallerCodec()
@@ -39,7 +39,7 @@
         return POLICY
 
     def withdraw(self, service, transaction):
-        """Undo nothing."""
+        """Ignore the withdrawal."""
 
     def next_key(self):
         self.keys += 1
@@ -49,7 +49,7 @@
         return 1 << 20
 
     def note(self, kind, outcome, ms):
-        """Count nothing."""
+        """Ignore the outcome."""
 
     def configured(self):
         return True
@@ -61,10 +61,10 @@
 
 
 class LastRequestsTest(testtools.TestCase):
-    """A process that ends cuts nothing that it has taken in."""
+    """A process that shuts down answers every request it has accepted."""
 
-    def play(self, steps) -> None:
-        """Run steps with a host, a session, and the caller's end."""
+    def run_steps(self, steps) -> None:
+        """Run `steps(host, task, caller)` with a started session."""
 
         async def run():
             near, far = _connected()
@@ -81,14 +81,14 @@
 
         asyncio.run(run())
 
-    def test_operation_that_comes_last_is_refused(self):
-        """It runs at another proxy instead of being cut here.
+    def test_late_operation_is_refused(self):
+        """Operations that arrive late in a shutdown are refused.
 
-        Symptom: a request that was sent 5.3 s after a proxy was told to stop
-        ran, and its connection was closed without an answer. Sequence: a
-        session is never still for long enough to be closed; the time of the
-        process is up while its last request is under way. Cause: taking new
-        work until the very end.
+        The caller can then run them at another proxy. Guards against
+        accepting work until the process exits: a session that
+        was never idle long enough to be closed sent a request 5.3 s after
+        the proxy received the stop signal. The request ran, but the process
+        exited and closed the connection without an answer.
         """
 
         async def steps(host, task, caller):
@@ -99,10 +99,10 @@
                 self.assertTrue(answer.startswith(b'ERROR BUSY draining'))
             self.assertEqual(0, host.submitted)
 
-        self.play(steps)
+        self.run_steps(steps)
 
-    def test_operation_under_way_is_answered(self):
-        """It has the rest of the grace."""
+    def test_operation_in_flight_is_answered(self):
+        """It may use the rest of the grace period."""
 
         async def steps(host, task, caller):
             await caller.write(b'QUERY q1 READ 1\r\n')
@@ -114,4 +114,4 @@
             answer = await caller.read_until(b'READY I -\r\n')
             self.assertIn(b'DONE sig', answer)
 
-        self.play(steps)
+        self.run_steps(steps)
--- a/topazring/platform/tests/test_line_protocol.py
+++ b/topazring/platform/tests/test_line_protocol.py
@@ -1,4 +1,4 @@
-"""Read and write lines, whatever the pieces they come in."""
+"""Test the codecs of the line protocol with arbitrarily split input."""
 
 import hypothesis
 from hypothesis import strategies
@@ -17,7 +17,7 @@
 SessionState = statements.SessionState
 Verb = statements.Verb
 
-SAID = (
+MESSAGES = (
     b'START lepu270 u3f1\r\n'
     b'QUERY a1 SET zone cork hall\r\n'
     b'QUERY a2 PREPARE s1 WRITE q2c\r\n'
@@ -27,64 +27,67 @@
 )
 
 
-def pieces_of(data: bytes, cuts: list[int]) -> list[bytes]:
-    """Cut bytes at these places."""
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
+    """Split bytes at the given offsets."""
     at = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
     return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
 
 
 class CallerLinesTest(testtools.TestCase):
-    """What callers send becomes statements, or a clear error."""
+    """Callers' messages are parsed into statements or clear errors."""
 
-    def read(self, data: bytes, most: int = 1000) -> list[ports.CallerItem]:
-        """Read it in one piece."""
-        return caller_codec.CallerCodec().reader(most).feed(data)
+    def read(
+        self, data: bytes, max_bytes: int = 1000
+    ) -> list[ports.CallerItem]:
+        """Parse the data in one piece."""
+        return caller_codec.CallerCodec().reader(max_bytes).feed(data)
 
     @hypothesis.settings(derandomize=True, max_examples=150)
-    @hypothesis.given(strategies.lists(strategies.integers(0, len(SAID))))
-    def test_any_pieces(self, cuts):
-        """The pieces do not matter."""
+    @hypothesis.given(strategies.lists(strategies.integers(0, len(MESSAGES))))
+    def test_arbitrary_chunks(self, cuts):
+        """The result does not depend on how the data is split."""
         reader = caller_codec.CallerCodec().reader(1000)
         items = []
-        for piece in pieces_of(SAID, cuts):
+        for piece in split_at(MESSAGES, cuts):
             items += reader.feed(piece)
-        self.assertEqual(self.read(SAID), items)
+        self.assertEqual(self.read(MESSAGES), items)
 
     @hypothesis.settings(derandomize=True, max_examples=400)
     @hypothesis.given(strategies.binary(max_size=300))
-    def test_anything_at_all(self, data):
-        """Whatever comes is a message or a fault, never an exception."""
-        for item in self.read(data + b'\r\n', most=100):
+    def test_arbitrary_bytes(self, data):
+        """Any input yields messages or faults, never an exception."""
+        for item in self.read(data + b'\r\n', max_bytes=100):
             self.assertIsInstance(item, ports.CallerItem)
 
     def test_statements(self):
-        """Each verb says what it is about."""
-        start, said_set, prepare, execute, begin, bye = self.read(SAID)
+        """The fields of each verb are parsed."""
+        start, set_value, prepare, execute, begin, quit_message = self.read(
+            MESSAGES
+        )
         self.assertEqual(ports.StartSession('lepu270'), start)
         self.assertEqual(
-            ('zone', 'cork hall'), (said_set.name, said_set.value)
+            ('zone', 'cork hall'), (set_value.name, set_value.value)
         )
         self.assertEqual(statements.Access.WRITE, prepare.access)
         self.assertEqual('1a4 some data', execute.arguments)
         self.assertTrue(begin.read_only)
-        self.assertEqual(ports.Quit(), bye)
+        self.assertEqual(ports.Quit(), quit_message)
 
-    def test_line_inside_a_line(self):
-        """A bare line feed must not begin a statement further on.
+    def test_line_end_inside_a_line(self):
+        """A bare CR, LF or NUL inside a line is rejected.
 
-        Symptom: an upstream runs a statement that no caller sent. Sequence:
-        a caller's data holds a line feed and what looks like a statement;
-        the upstream takes it for the end of the line. Cause: passing on
-        what the two ends split differently.
+        Guards against statement injection: a caller's data contains a line
+        feed followed by the text of a statement, and the upstream, which
+        splits lines differently, runs that text.
         """
         for inside in (b'\n', b'\r', b'\0'):
-            said = b'QUERY a1 WRITE k x' + inside + b'QUERY a2 READ k\r\n'
-            (item,) = self.read(said)
+            data = b'QUERY a1 WRITE k x' + inside + b'QUERY a2 READ k\r\n'
+            (item,) = self.read(data)
             self.assertEqual(Reason.BAD_STATEMENT, item.reason)
 
     def test_malformed(self):
-        """A clear error, and the session goes on."""
-        for said in (
+        """Malformed messages are non-fatal faults; the session continues."""
+        for data in (
             b'HELLO\r\n',
             b'QUERY\r\n',
             b'QUERY a1\r\n',
@@ -99,47 +102,47 @@
             b'QUERY a1 READ \xff\r\n',
             b'QUIT now\r\n',
         ):
-            (item,) = self.read(said)
-            self.assertIsInstance(item, ports.Fault, said)
-            self.assertFalse(item.fatal, said)
+            (item,) = self.read(data)
+            self.assertIsInstance(item, ports.Fault, data)
+            self.assertFalse(item.fatal, data)
 
     def test_too_long(self):
-        """It is not read to its end; there is no way to go on."""
-        for said in (b'x' * 200, b'x' * 200 + b'\r\n'):
-            item = self.read(said, most=100)[0]
+        """An oversized line is a fatal fault, also before its end arrives."""
+        for data in (b'x' * 200, b'x' * 200 + b'\r\n'):
+            item = self.read(data, max_bytes=100)[0]
             self.assertEqual(Reason.TOO_LARGE, item.reason)
             self.assertTrue(item.fatal)
 
     def answer(self, outcome, state=SessionState.IDLE) -> bytes:
-        """Write an answer."""
+        """Encode an answer."""
         return caller_codec.CallerCodec().answer(outcome, state)
 
     def test_answers(self):
-        """Rows and signature are the upstream's own."""
+        """Rows and signature are passed on as the upstream sent them."""
         done = outcomes.Done(['a b', 'c'], None, signature='7.1f')
         self.assertEqual(
             b'ROW a b\r\nROW c\r\nDONE 7.1f\r\nREADY T -\r\n',
             self.answer(done, SessionState.IN_TRANSACTION),
         )
 
-    def test_refusals_differ_from_doubt(self):
-        """What may have run is never answered as if nothing were kept."""
-        kept_nothing = (b'BUSY', b'ABORTED', b'LAGGING', b'TOOMANY')
+    def test_unknown_outcome_is_not_a_refusal(self):
+        """A request that may have run never gets a not-run code."""
+        not_run_codes = (b'BUSY', b'ABORTED', b'LAGGING', b'TOOMANY')
         for reason in Reason:
             if reason in outcomes.REJECTION_REASONS:
                 continue
             refused = self.answer(outcomes.NotRun(reason, 40))
-            self.assertIn(refused.split()[1], kept_nothing)
+            self.assertIn(refused.split()[1], not_run_codes)
             self.assertIn(b'retry-after-ms=40', refused)
-            doubt = self.answer(outcomes.Unknown(reason))
-            self.assertNotIn(doubt.split()[1], kept_nothing)
+            unknown = self.answer(outcomes.Unknown(reason))
+            self.assertNotIn(unknown.split()[1], not_run_codes)
 
 
 class UpstreamLinesTest(testtools.TestCase):
-    """Commands go out, replies come back."""
+    """Commands are encoded and replies decoded."""
 
     def test_commands(self):
-        """Callers' statements keep their id and text."""
+        """Callers' statements keep their request id and text."""
         place = log_positions.LogPosition(3, 1207)
         written = upstream_codec.UpstreamCodec().encode(
             (
@@ -161,16 +164,16 @@
             written,
         )
 
-    def test_every_command_can_be_written(self):
-        """None is forgotten."""
-        known = set(upstream_codec._encoders)
-        self.assertEqual(set(statements.Command.__args__), known)
+    def test_every_command_has_an_encoder(self):
+        """Every type of command has a registered encoder."""
+        encoded = set(upstream_codec._encoders)
+        self.assertEqual(set(statements.Command.__args__), encoded)
 
     @hypothesis.settings(derandomize=True, max_examples=150)
     @hypothesis.given(strategies.lists(strategies.integers(0, 200)))
-    def test_replies_in_any_pieces(self, cuts):
-        """The greeting is the first reply."""
-        said = (
+    def test_replies_in_arbitrary_chunks(self, cuts):
+        """Replies are decoded however split; the greeting is the first one."""
+        replies_data = (
             b'READY I 3.1207\r\n'
             b'ROW a b\r\nDONE 7.1f\r\nREADY T 3.1209\r\n'
             b'ERROR READONLY i-7f\r\nREADY E -\r\n'
@@ -178,7 +181,7 @@
         )
         reader = upstream_codec.UpstreamCodec().reader()
         replies = []
-        for piece in pieces_of(said, cuts):
+        for piece in split_at(replies_data, cuts):
             replies += reader.feed(piece)
         greeting, row, refusal, status = replies
         self.assertEqual(log_positions.LogPosition(3, 1207), greeting.place)
@@ -191,17 +194,16 @@
         self.assertEqual(4, status.report.held_term)
 
     def test_refused_greeting(self):
-        """No state follows it."""
+        """A refused greeting is complete without a session state."""
         reader = upstream_codec.UpstreamCodec().reader()
         (reply,) = reader.feed(b'ERROR MISROUTED\r\n')
         self.assertEqual(Code.WRONG_UPSTREAM, reply.code)
 
-    def test_answer_that_was_cut_off_is_none(self):
-        """Rows without their end are never a success.
+    def test_truncated_answer_is_an_error(self):
+        """Rows without a final DONE are never returned as an answer.
 
-        Symptom: a caller gets half of its rows as the whole answer.
-        Sequence: an answer is cut off before its end. Cause: taking what
-        came for all.
+        Guards against returning the rows received so far as the whole answer
+        when the upstream's answer is truncated.
         """
         reader = upstream_codec.UpstreamCodec().reader()
         reader.feed(b'READY I 1.1\r\n')
@@ -210,8 +212,8 @@
             line_protocol.LineError, reader.feed, b'READY I 1.1\r\n'
         )
 
-    def test_nonsense(self):
-        """The connection is given up."""
-        for said in (b'HELLO\r\n', b'READY X 1.1\r\n', b'READY I x.y\r\n'):
+    def test_invalid_replies(self):
+        """Invalid replies raise ValueError, which closes the connection."""
+        for data in (b'HELLO\r\n', b'READY X 1.1\r\n', b'READY I x.y\r\n'):
             reader = upstream_codec.UpstreamCodec().reader()
-            self.assertRaises(ValueError, reader.feed, said)
+            self.assertRaises(ValueError, reader.feed, data)
--- a/topazring/platform/tests/test_owners.py
+++ b/topazring/platform/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Serve callers at proxies that hold no connection to upstreams."""
+"""Test proxies that forward requests because they have no connections."""
 
 import asyncio
 import signal
@@ -10,13 +10,13 @@
 
 
 class OwnersTest(support.PlatformTestCase):
-    """Six proxies before upstreams that take eight connections."""
+    """Run six proxies with upstreams that accept eight connections."""
 
     # Two of the six are owners, with three connections each.
     max_connections = 8
 
-    async def counted(self) -> list[int]:
-        """Return how many requests each proxy sent to others."""
+    async def forwarded_counts(self) -> list[int]:
+        """Return how many requests each proxy has forwarded."""
         found = []
         for proxy in self.proxies:
             page = await proxy.get('/metrics')
@@ -29,31 +29,30 @@
         return found
 
     async def owners(self, callers) -> list[int]:
-        """Return the owners, once all proxies know of each other."""
+        """Return the two owners once all proxies have selected the same."""
         found: list[int] = []
 
-        async def settled():
-            before = await self.counted()
+        async def is_agreed():
+            before = await self.forwarded_counts()
             for caller in callers:
                 await caller.query('WRITE k v')
-            after = await self.counted()
+            after = await self.forwarded_counts()
             pairs = zip(before, after, strict=True)
             found[:] = [n for n, (b, a) in enumerate(pairs) if a == b]
             return len(found) == 2
 
-        await support.wait_until(settled, 10.0)
+        await support.wait_until(is_agreed, 10.0)
         return found
 
     def test_every_proxy_serves(self):
-        """Whoever takes a caller in, its session holds together.
+        """Sessions work at every proxy, also those without connections.
 
-        Symptom: callers of most proxies are refused although upstreams are
-        idle. Sequence: more proxies than an upstream takes connections.
-        Cause: serving only over connections of one's own.
+        Guards against proxies that serve only over their own connections:
+        with more proxies than an upstream accepts connections, callers of
+        most proxies were refused although the upstreams were idle.
 
-        It failed at times beside load: a follower's watch of the tests' own
-        store ended as the last proxy entered, and told the revision without
-        the event (see `test_fake_store`).
+        This test was flaky under load because of a fault in the fake store's
+        watch (see `test_fake_store`).
         """
         self.run_on_platform(self.every_proxy, PROXIES)
 
@@ -63,26 +62,27 @@
         ran = len(self.group.ran)
         for number, caller in enumerate(callers):
             await caller.query(f'SET zone z{number}')
-            said = await caller.query(f'WRITE k{number} v{number}')
-            self.assertTrue(said[0].startswith('DONE'), said)
-            said = await caller.query(f'READ k{number}')
-            self.assertEqual(f'ROW v{number}', said[0])
+            answer = await caller.query(f'WRITE k{number} v{number}')
+            self.assertTrue(answer[0].startswith('DONE'), answer)
+            answer = await caller.query(f'READ k{number}')
+            self.assertEqual(f'ROW v{number}', answer[0])
             for text in ('BEGIN', f'WRITE k{number} w{number}'):
-                said = await caller.query(text)
-                self.assertTrue(said[0].startswith('DONE'), said)
-            self.assertEqual('READY T -', said[-1])
-            said = await caller.query('COMMIT')
-            self.assertEqual('READY I -', said[-1])
-            said = await caller.query(f'READ k{number}')
-            self.assertEqual(f'ROW w{number}', said[0])
+                answer = await caller.query(text)
+                self.assertTrue(answer[0].startswith('DONE'), answer)
+            self.assertEqual('READY T -', answer[-1])
+            answer = await caller.query('COMMIT')
+            self.assertEqual('READY I -', answer[-1])
+            answer = await caller.query(f'READ k{number}')
+            self.assertEqual(f'ROW w{number}', answer[0])
         zones = [values['zone'] for _, _, values in self.group.ran[ran:]]
         self.assertEqual(sorted(zones), zones)
 
-    def test_owner_that_is_killed(self):
-        """Its requests go to the other one within their time.
+    def test_killed_owner(self):
+        """Requests for a killed owner reach the other one in time.
 
-        Symptom: callers wait for seconds after a proxy was lost that they
-        never talked to. Cause: waiting for the list to tell.
+        Guards against callers that wait for seconds after the loss of a
+        proxy they never connected to, because the forwarding proxy waits
+        until the list no longer has it.
         """
         self.run_on_platform(self.killed_owner, PROXIES)
 
@@ -93,11 +93,11 @@
         others = [n for n in range(PROXIES) if n not in owners]
         for number in others:
             for _ in range(3):
-                said = await callers[number].query('READ k')
-                self.assertEqual('ROW v', said[0])
+                answer = await callers[number].query('READ k')
+                self.assertEqual('ROW v', answer[0])
 
-    def test_owner_that_leaves(self):
-        """What it serves for others is answered before it ends."""
+    def test_owner_shutdown(self):
+        """An owner answers forwarded requests before it exits."""
         self.run_on_platform(self.leaving_owner, PROXIES)
 
     async def leaving_owner(self):
@@ -105,26 +105,24 @@
         owners = await self.owners(callers)
         other = next(n for n in range(PROXIES) if n not in owners)
         await callers[other].query('BEGIN')
-        said = await callers[other].query('WRITE k w')
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await callers[other].query('WRITE k w')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
         leaving = [
             asyncio.create_task(self.proxies[owner].stop()) for owner in owners
         ]
         await asyncio.sleep(0.3)
-        said = await callers[other].query('COMMIT')
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await callers[other].query('COMMIT')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
         self.assertEqual([0, 0], await asyncio.gather(*leaving))
 
-    def test_proxy_that_leaves_while_an_owner_is_slow(self):
-        """What cannot be served before its end is refused before it.
+    def test_proxy_shutdown_beside_a_slow_owner(self):
+        """A request that can't finish before the proxy exits is refused.
 
-        Symptom: a reader's connection ends without an answer while its proxy
-        is stopped. Sequence: the proxy is told to stop; later a session that
-        never rests asks for a read that may take 5 s; the proxy sends it to
-        an owner, whose line is long; the proxy ends first. Cause: a request
-        was given more time than its process has. Proof: in the log the proxy
-        was told to stop at 27.6 s, took the read at 31.6 s and closed at
-        33.2 s; the owner sent the read to its upstream at 33.4 s.
+        Guards against requests whose deadline lies after their process's
+        exit: a session that is never idle sends a read with a deadline of
+        5 s while its proxy shuts down, the owner's queue is long, and the
+        proxy exits without an answer. Seen in a soak: stop at 27.6 s, read
+        at 31.6 s, exit at 33.2 s, read sent by the owner at 33.4 s.
         """
         self.run_on_platform(self.leaving_beside_a_slow_owner, PROXIES)
 
@@ -137,10 +135,10 @@
         for member in self.group.members:
             member.reads_take_s = 10.0
         stopping = asyncio.create_task(self.proxies[other].stop())
-        # A session that rested would be closed between two operations.
+        # An idle session would be closed between two operations.
         until_s = time.monotonic() + 1.2
         while time.monotonic() < until_s:
             await callers[other].query('SET zone z')
-        said = await callers[other].query('READ k')
-        self.assertTrue(said and said[0].startswith('ERROR'), said)
+        answer = await callers[other].query('READ k')
+        self.assertTrue(answer and answer[0].startswith('ERROR'), answer)
         self.assertEqual(0, await stopping)
--- a/topazring/platform/tests/test_records.py
+++ b/topazring/platform/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Decode entries, whoever wrote them."""
+"""Test the decoding of store entries, valid or not."""
 
 import base64
 import json
@@ -24,30 +24,30 @@
 
 
 def decode(**changes) -> listing.Record | None:
-    """Decode an entry that differs from a good one; None drops a field."""
+    """Decode a valid entry with changes; 'none' removes a field."""
     entry = {**GOOD, **changes}
     entry = {name: value for name, value in entry.items() if value != 'none'}
     return records.decode(KEY, json.dumps(entry), 7)
 
 
 class UpstreamRecordTest(testtools.TestCase):
-    """An entry that is not wholly understood names no upstream.
+    """An entry that cannot be decoded completely is not an upstream.
 
-    Symptom: a proxy stops learning, or sends requests to nowhere. Sequence:
-    another program writes under the keys of the upstreams. Cause: taking
-    whatever stands there for an upstream's own word.
+    Guards against using entries that another program writes under the
+    upstreams' keys: the proxy stopped following the store, or sent requests
+    to an invalid address.
     """
 
     def test_good_entry(self):
-        """Each field has its place."""
+        """Each field of a valid entry is decoded."""
         upstream = decode().upstream
         self.assertEqual('i-1', upstream.name)
         self.assertEqual(statements.Role.PRIMARY, upstream.role)
         self.assertEqual(1_700_000_000_000, upstream.born_ms)
         self.assertFalse(upstream.leaving)
 
-    def test_foreign_entries(self):
-        """Missing fields, other types, unknown words."""
+    def test_invalid_entries(self):
+        """Missing fields, wrong types and unknown values raise ValueError."""
         for changes in (
             {'service': 'none'},
             {'address': 'none'},
@@ -67,16 +67,17 @@
             self.assertRaises(ValueError, decode, **changes)
 
     def test_other_fields_are_ignored(self):
-        """New ones may come."""
+        """Unknown fields may be added later."""
         self.assertIsNotNone(decode(colour='blue', sequence='?'))
 
     @hypothesis.settings(derandomize=True, max_examples=300)
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_any_bytes(self, data):
-        """Whatever stands there is a record or a ValueError.
+    def test_arbitrary_bytes(self, data):
+        """Any value is decoded to a record or raises ValueError.
 
-        Symptom: no proxy learns anything any more. Sequence: an entry with
-        bytes that are no text. Cause: an error in the reader of all entries.
+        Guards against another exception, for example for bytes that are not
+        text, that ends the reading of all entries, after which no proxy
+        receives any change.
         """
         value = base64.b64encode(data).decode()
         item = store._Item(KEY, 7, value)
--- a/topazring/platform/tests/test_store.py
+++ b/topazring/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Call the store with times that fit what depends on it."""
+"""Test the store client's timeouts and connection errors."""
 
 import asyncio
 import socket
@@ -13,34 +13,33 @@
 from topazring.pooler import promotion_lease as duties
 
 
-class KeepTest(testtools.TestCase):
-    """Renewals come in time."""
+class RenewalTest(testtools.TestCase):
+    """Leases are renewed in time."""
 
-    def test_lease_outlasts_a_swallowed_renewal(self):
-        """One call that gets no answer must not end a living holder's duty.
+    def test_lease_outlasts_an_unanswered_renewal(self):
+        """One unanswered renewal must not cost a live holder its lease.
 
-        Symptom: the duty moves on although its holder lives. Sequence: a
-        renewal is swallowed; its holder waits for the answer; the next one
-        comes after the lease has ended. Cause: a lease too short for two
-        renewals and one wait.
+        Guards against a TTL that is too short for two renewal intervals and
+        one timeout: the holder waits for the answer to a renewal, its next
+        renewal comes after the lease has expired, and the promotion lease
+        moves to another proxy.
         """
         needed_s = 2 * duties.RENEW_INTERVAL_S + store.RENEWAL_TIMEOUT_S
         self.assertLess(needed_s, duties.TTL_MS / 1000)
 
 
-class EndingStoreTest(testtools.TestCase):
-    """The store ends as it is reached."""
+class ClosedConnectionTest(testtools.TestCase):
+    """The store closes a connection as soon as it is opened."""
 
-    def test_connection_that_ends_at_once(self):
-        """It is no answer, and nothing else.
+    def test_connection_closed_at_once(self):
+        """A connection that is closed at once counts as unavailable.
 
-        Symptom: a proxy goes on by an old list for ever; its standard error
-        says `Task exception was never retrieved`, AttributeError, with
-        `_follow_forever`. Sequence: the store, or the peer that it hears,
-        takes a connection and closes it at once. Cause: the closed stream
-        has no socket left whose options could be set, and the error that
-        this raises ends the task that follows the store. Proof: of 2,000
-        calls to a listener that resets what it takes, 7 raised it.
+        Guards against an AttributeError when socket options are set on a
+        stream that the store, or the peer being polled, has closed already.
+        It ended the task that follows the store (`Task exception was never
+        retrieved` in `_follow_forever`), so the proxy used an old list
+        forever. Seen in 7 of 2,000 calls to a listener that resets its
+        connections.
         """
         asyncio.run(self.ends_at_once())
 
--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -1,4 +1,4 @@
-"""The soak's upstreams confirm, pause and promote as the pages say."""
+"""Test the simulated upstreams of the soak: commits, pauses, promotions."""
 
 import asyncio
 
@@ -9,19 +9,20 @@
 from topazring.platform.tests import synchronous_upstreams
 
 SERVICE = support.SERVICE
-# Longer than replicas take, much shorter than the tests wait for them.
+# Longer than replicas take to receive a commit, and much shorter than the
+# time the tests wait for one.
 SHORT_S = 0.2
 PROMOTE_MS = 30
 
 
 class GroupTest(testtools.TestCase):
-    """Three upstreams, spoken to as a proxy does."""
+    """Run three upstreams and connect to them as a proxy does."""
 
-    def play(self, steps) -> None:
-        """Run steps on a group that has started."""
-        asyncio.run(self._play(steps))
+    def run_steps(self, steps) -> None:
+        """Run steps with a started group."""
+        asyncio.run(self._run_steps(steps))
 
-    async def _play(self, steps) -> None:
+    async def _run_steps(self, steps) -> None:
         self.noted: list[object] = []
         self.group = synchronous_upstreams.Group(
             SERVICE, ports.free_many(3), self.noted.append, PROMOTE_MS
@@ -39,11 +40,11 @@
         member = self.group.members[number]
         opened = await asyncio.open_connection('127.0.0.1', member.port)
         caller = support.Caller(*opened)
-        await caller.say(f'START {SERVICE} me {member.name}')
+        await caller.send_line(f'START {SERVICE} me {member.name}')
         return caller
 
     async def hangs(self, caller: support.Caller, text: str) -> bool:
-        """Say whether a statement gets no answer for a moment."""
+        """Return whether a statement gets no answer within SHORT_S."""
         try:
             async with asyncio.timeout(SHORT_S):
                 await caller.query(text)
@@ -52,36 +53,36 @@
         return False
 
     def test_write_waits_for_a_replica(self):
-        self.play(self.write_waits)
+        self.run_steps(self.write_waits)
 
     async def write_waits(self):
         primary = await self.connect(0)
-        said = await primary.query('WRITE k v')
-        self.assertTrue(said[0].startswith('DONE'), said)
-        self.assertEqual('READY I 1.2', said[1])
+        answer = await primary.query('WRITE k v')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
+        self.assertEqual('READY I 1.2', answer[1])
         for member in self.group.members[1:]:
             member.deaf_until_ms = synchronous_upstreams.now_ms() + 400
         self.assertTrue(await self.hangs(primary, 'WRITE k w'))
-        said = await primary.answer()
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await primary.read_answer()
+        self.assertTrue(answer[0].startswith('DONE'), answer)
 
     def test_paused_replicas_confirm_nothing(self):
-        self.play(self.paused)
+        self.run_steps(self.paused)
 
     async def paused(self):
         primary = await self.connect(0)
         for number in (1, 2):
             replica = await self.connect(number)
-            said = await replica.query('PAUSE 2')
-            self.assertEqual('ROW replica 1 1.1 2 0 0 1', said[0])
+            answer = await replica.query('PAUSE 2')
+            self.assertEqual('ROW replica 1 1.1 2 0 0 1', answer[0])
         self.assertTrue(await self.hangs(primary, 'WRITE k v'))
         await replica.query('RESUME')
-        said = await primary.answer()
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await primary.read_answer()
+        self.assertTrue(answer[0].startswith('DONE'), answer)
 
-    def test_promotion_cuts_back(self):
-        """Whoever leads begins with what it had, and nothing more."""
-        self.play(self.promotion)
+    def test_promotion_truncates_logs(self):
+        """Other members are truncated to the new primary's log."""
+        self.run_steps(self.promotion)
 
     async def promotion(self):
         old, new, third = self.group.members
@@ -94,18 +95,18 @@
         roles = [member.role for member in self.group.members]
         self.assertEqual(['replica', 'primary', 'replica'], roles)
         self.assertEqual((1, 1, 1), tuple(map(self.size, (old, new, third))))
-        said = await caller.query('WRITE k v')
-        self.assertTrue(said[0].startswith('ERROR READONLY'), said)
+        answer = await caller.query('WRITE k v')
+        self.assertTrue(answer[0].startswith('ERROR READONLY'), answer)
 
     def size(self, member) -> int:
         """Return how many entries a member's log has."""
         return len(member.log)
 
-    def test_cut_off_primary_goes_on(self):
-        """It leads beside its successor until it reaches that."""
-        self.play(self.goes_on)
+    def test_partitioned_primary_stays_primary(self):
+        """A partitioned primary stays one until it reaches its successor."""
+        self.run_steps(self.stays_primary)
 
-    async def goes_on(self):
+    async def stays_primary(self):
         old, new, third = self.group.members
         self.group.cut_pairs = {
             frozenset((old.name, other.name)) for other in (new, third)
@@ -115,11 +116,11 @@
         self.assertEqual(['primary'] * 2, [old.role, new.role])
         caller = await self.connect(0)
         self.assertTrue(await self.hangs(caller, 'WRITE k v'))
-        newcomer = self.group.add_replica(ports.free())
-        self.group.cut_pairs.add(frozenset((new.name, newcomer.name)))
-        said = await caller.answer()
-        self.assertTrue(said[0].startswith('DONE'), said)
-        self.assertEqual(2, self.size(newcomer))
+        new_member = self.group.add_replica(ports.free())
+        self.group.cut_pairs.add(frozenset((new.name, new_member.name)))
+        answer = await caller.read_answer()
+        self.assertTrue(answer[0].startswith('DONE'), answer)
+        self.assertEqual(2, self.size(new_member))
         self.group.cut_pairs.clear()
         await asyncio.sleep(synchronous_upstreams.STEP_DOWN_MS / 1000 + 0.3)
         self.assertEqual('replica', old.role)
--- a/topazring/platform/tests/test_whole_path.py
+++ b/topazring/platform/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Serve sessions through real processes."""
+"""Test sessions end to end, with proxies as real processes."""
 
 import asyncio
 import signal
@@ -6,32 +6,32 @@
 from topazring.platform.tests import support
 
 
-# A process that does not start for its settings is gone by then.
-ENDS_S = 20.0
+# A process that rejects its settings has exited by then.
+EXIT_TIMEOUT_S = 20.0
 
 
 class WholePathTest(support.PlatformTestCase):
-    """Callers, proxies, upstreams and the store together."""
+    """Run callers, proxies, upstreams and the store together."""
 
     def test_sessions(self):
-        """Every statement is answered as the protocol says."""
+        """Every statement is answered as the protocol specifies."""
         self.run_on_platform(self.sessions)
 
     async def sessions(self):
         caller = await self.session('own')
         self.assertEqual(['READY I -'], caller.greeting)
-        said = await caller.query('WRITE beam IPE300')
-        self.assertTrue(said[0].startswith(f'DONE q{id(caller)}x1.'), said)
-        said = await caller.query('READ beam')
-        self.assertEqual('ROW IPE300', said[0])
-        self.assertEqual('READY I -', said[-1])
+        answer = await caller.query('WRITE beam IPE300')
+        self.assertTrue(answer[0].startswith(f'DONE q{id(caller)}x1.'), answer)
+        answer = await caller.query('READ beam')
+        self.assertEqual('ROW IPE300', answer[0])
+        self.assertEqual('READY I -', answer[-1])
         for text in ('SET zone cork', 'PREPARE s READ q', 'BEGIN'):
             self.assertEqual('DONE -', (await caller.query(text))[0])
-        said = await caller.query('EXECUTE s beam')
-        self.assertEqual(['ROW IPE300', 'READY T -'], [said[0], said[-1]])
+        answer = await caller.query('EXECUTE s beam')
+        self.assertEqual(['ROW IPE300', 'READY T -'], [answer[0], answer[-1]])
         await caller.query('WRITE beam HEB200')
-        said = await caller.query('COMMIT')
-        self.assertEqual('READY I -', said[-1])
+        answer = await caller.query('COMMIT')
+        self.assertEqual('READY I -', answer[-1])
         self.assertEqual('ROW HEB200', (await caller.query('READ beam'))[0])
         values = [values for _, text, values in self.group.ran[2:]]
         self.assertEqual([{'zone': 'cork'}] * len(values), values)
@@ -39,29 +39,29 @@
         self.assertTrue(refused.greeting[0].startswith('ERROR NODB'))
 
     def test_bad_input(self):
-        """A clear error, and nobody else is harmed."""
+        """Bad input gets a clear error and does not affect other sessions."""
         self.run_on_platform(self.bad_input)
 
     async def bad_input(self):
         good = await self.session('exact')
         bad = await self.session('exact')
-        said = await bad.query('DROP everything')
-        self.assertTrue(said[0].startswith('ERROR MALFORMED'), said)
-        said = await bad.say('QUERY a WRITE k x\nQUERY b WRITE k y')
-        self.assertTrue(said[0].startswith('ERROR MALFORMED'), said)
+        answer = await bad.query('DROP everything')
+        self.assertTrue(answer[0].startswith('ERROR MALFORMED'), answer)
+        answer = await bad.send_line('QUERY a WRITE k x\nQUERY b WRITE k y')
+        self.assertTrue(answer[0].startswith('ERROR MALFORMED'), answer)
         bad.writer.write(b'QUERY c WRITE k ' + b'x' * 2_000_000)
-        said = await bad.answer()
-        self.assertTrue(said[0].startswith('ERROR TOOLARGE'), said)
+        answer = await bad.read_answer()
+        self.assertTrue(answer[0].startswith('ERROR TOOLARGE'), answer)
         self.assertEqual([], self.group.ran)
-        said = await good.query('READ k')
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await good.query('READ k')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
 
     def test_too_many_callers(self):
-        """Those beyond the limit are told so, the others are served.
+        """Connections beyond the limit are refused, the others are served.
 
-        Symptom: a proxy serves nobody and answers no probe. Sequence: a few
-        thousand connections come and say nothing. Cause: taking connections
-        until there is no descriptor left.
+        Guards against accepting connections until no file descriptors are
+        left: after a few thousand idle connections a proxy served no caller
+        and answered no probe.
         """
         self.run_on_platform(self.too_many)
 
@@ -76,20 +76,20 @@
         await support.wait_until(lambda: self.is_served('own'))
 
     def test_lost_answer_of_a_write(self):
-        """It is unknown, and it is not sent again."""
+        """A write whose answer is lost is unknown and is not sent again."""
         self.run_on_platform(self.lost_answer)
 
     async def lost_answer(self):
         caller = await self.session('exact')
         await caller.query('READ k')
         self.group.primary().loses_answers = True
-        said = await caller.query('WRITE k once')
-        self.assertTrue(said[0].startswith('ERROR UNKNOWN'), said)
+        answer = await caller.query('WRITE k once')
+        self.assertTrue(answer[0].startswith('ERROR UNKNOWN'), answer)
         writes = [text for _, text, _ in self.group.ran if 'once' in text]
         self.assertEqual(1, len(writes))
 
     def test_lost_primary(self):
-        """Another is promoted, and nothing acknowledged is lost."""
+        """A replica is promoted and no acknowledged write is lost."""
         self.run_on_platform(self.lost_primary, proxies=2)
 
     async def lost_primary(self):
@@ -97,23 +97,23 @@
         await caller.query('WRITE beam IPE300')
         old = self.group.primary()
         self.group.crash(old.name)
-        said = ['']
+        answer = ['']
         async with asyncio.timeout(10):
-            while not said[0].startswith('DONE'):
-                said = await caller.query('WRITE beam HEB200')
+            while not answer[0].startswith('DONE'):
+                answer = await caller.query('WRITE beam HEB200')
         other = await self.session('exact', proxy=1)
         self.assertEqual('ROW HEB200', (await other.query('READ beam'))[0])
         self.assertNotEqual(old.name, self.group.primary().name)
         tokens = [order['token'] for order in self.store.orders]
         self.assertEqual(sorted(tokens), tokens)
-        await support.wait_until(self.nobody_is_paused)
+        await support.wait_until(self.is_no_replica_paused)
 
-    async def nobody_is_paused(self) -> bool:
-        """Say whether every replica receives."""
+    async def is_no_replica_paused(self) -> bool:
+        """Return whether no upstream is paused."""
         return not any(member.paused_for_term for member in self.group.members)
 
     def test_configuration(self):
-        """It is in force soon, also after the history was lost."""
+        """A new configuration takes effect, also after compacted history."""
         self.run_on_platform(self.configuration)
 
     async def configuration(self):
@@ -125,25 +125,24 @@
         await support.wait_until(lambda: self.is_served('later'))
 
     async def is_served(self, database: str, proxy: int = 0) -> bool:
-        """Say whether sessions on a database start."""
+        """Return whether sessions on a database are accepted."""
         caller = await self.session(database, proxy)
         caller.close()
         return caller.greeting == ['READY I -']
 
     def test_store_away(self):
-        """What is known goes on; a restarted proxy refuses until it is back.
+        """Running proxies serve during a store outage; restarted ones refuse.
 
-        Symptom: an outage of the store becomes an outage of everything.
-        Sequence: the store fails for a while. Cause: asking it for what is
-        known.
+        Guards against a store outage that becomes an outage of all proxies
+        because they request data that they already have.
         """
         self.run_on_platform(self.store_away)
 
     async def store_away(self):
         self.store.failure_code = 503
         caller = await self.session('own')
-        said = await caller.query('WRITE k v')
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await caller.query('WRITE k v')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
         proxy = self.proxies[0]
         await proxy.stop(signal.SIGKILL)
         starting = asyncio.ensure_future(proxy.start())
@@ -154,58 +153,57 @@
         await starting
         self.assertTrue(await self.is_served('own'))
 
-    def test_store_that_swallows_calls(self):
-        """A call that was swallowed is not waited for when the store is back.
+    def test_store_that_never_answers(self):
+        """An unanswered call does not delay a proxy after a store outage.
 
-        Symptom: one of seven proxies serves by an old configuration for six
-        seconds. Sequence: the store goes silent; a proxy gives its watch up
-        and asks again just before the store is back; that call is never
-        answered, its connection lives; the configuration changes. Cause: the
-        first call after an outage was a long watch.
+        Guards against using a long watch as the first call after an outage:
+        the store stops answering, a proxy gives up its watch and sends a new
+        one just before the store recovers, and this one is never answered
+        while its connection stays open. One of seven proxies used an old
+        configuration for six seconds.
         """
-        self.run_on_platform(self.swallows)
+        self.run_on_platform(self.never_answers)
 
-    async def swallows(self):
+    async def never_answers(self):
         self.store.is_unresponsive = True
-        # The watch under way is woken, and its answer swallowed.
+        # The change ends the pending watch, whose answer is never sent.
         await self.configure(5, support.route('lost', 'primary'))
         await asyncio.sleep(4.5)
         self.store.is_unresponsive = False
         await self.configure(9, support.route('late', 'primary'))
         await support.wait_until(lambda: self.is_served('late'), 2.0)
 
-    def test_turned_away_by_the_store(self):
-        """A proxy that the store turns away learns from its peers.
+    def test_refused_by_the_store(self):
+        """A proxy that the store refuses receives the data from its peers.
 
-        Symptom: a third of the proxies refuse callers for nine seconds, or
-        serve by an old configuration. Sequence: the store serves some and
-        turns others away; one of those restarts; the configuration changes.
-        Cause: knowing only what the store tells oneself.
+        Guards against proxies that rely on the store alone: it serves some
+        and refuses others, one of which restarts, and the configuration
+        changes. A third of the proxies refused callers for nine seconds or
+        used an old configuration.
         """
-        self.run_on_platform(self.turned_away, proxies=2)
+        self.run_on_platform(self.refused_by_store, proxies=2)
 
-    async def turned_away(self):
+    async def refused_by_store(self):
         first, second = self.proxies
         self.store.failure_codes_by_port[second.store_port] = 503
         await second.stop(signal.SIGKILL)
         await second.start()
         caller = await self.session('own', proxy=1)
-        said = await caller.query('WRITE k v')
-        self.assertTrue(said[0].startswith('DONE'), said)
+        answer = await caller.query('WRITE k v')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
         await self.configure(7, support.route('late', 'primary'))
         await support.wait_until(lambda: self.is_served('late', proxy=1), 3)
 
-    def test_caller_that_comes_at_once(self):
-        """One that comes before the first answer of the store waits for it.
+    def test_caller_during_startup(self):
+        """A caller that connects before the first store read waits for it.
 
-        Symptom: requests refused in the first milliseconds of a proxy.
-        Sequence: all proxies restart; callers press; the first reach a proxy
-        before it has read its configuration. Cause: refusing what will be
-        known in a moment.
+        Guards against requests refused in the first milliseconds of a proxy:
+        after a restart of all proxies, waiting callers connect before the
+        proxy has read its configuration.
         """
-        self.run_on_platform(self.comes_at_once)
+        self.run_on_platform(self.startup_caller)
 
-    async def comes_at_once(self):
+    async def startup_caller(self):
         proxy = self.proxies[0]
         await proxy.stop(signal.SIGKILL)
         starting = asyncio.ensure_future(proxy.start())
@@ -219,7 +217,7 @@
         await starting
 
     def test_graceful_stop(self):
-        """No request is cut, idle sessions end, the exit code is 0."""
+        """Requests are answered, idle sessions closed; the exit code is 0."""
         self.run_on_platform(self.graceful_stop)
 
     async def graceful_stop(self):
@@ -231,16 +229,13 @@
         stopping = asyncio.ensure_future(proxy.stop())
         await asyncio.sleep(0.3)
         self.assertIn('503', await proxy.get('/-/ready'))
-        said = await busy.query('COMMIT')
-        self.assertTrue(said[0].startswith('DONE'), said)
-        self.assertEqual([], await idle.answer())
+        answer = await busy.query('COMMIT')
+        self.assertTrue(answer[0].startswith('DONE'), answer)
+        self.assertEqual([], await idle.read_answer())
         self.assertEqual(0, await stopping)
 
     def test_leaving_upstream(self):
-        """A leaving replica gets nothing new; a leaving primary is replaced.
-
-        Writes go on all the while.
-        """
+        """A draining primary is replaced while writes continue to succeed."""
         self.run_on_platform(self.leaving_upstream)
 
     async def leaving_upstream(self):
@@ -250,19 +245,19 @@
         await self.list_upstreams(**{old.name: {'state': 'draining'}})
         async with asyncio.timeout(10):
             while self.group.primary() is old:
-                said = await caller.query('WRITE k 1')
-                self.assertTrue(said[0].startswith('DONE'), said)
+                answer = await caller.query('WRITE k 1')
+                self.assertTrue(answer[0].startswith('DONE'), answer)
 
     def test_start_while_nobody_leads(self):
-        """A proxy that starts has somebody lead where nobody does.
-
-        Symptom: no write is ever served again. Sequence: a primary is
-        demoted for a promotion; all proxies are killed before another is
-        ordered; they start, and all upstreams are replicas. Cause: nobody
-        is missed who was never seen to lead. Proof: in the soak of seed 229
-        the demoted one is a replica at 9.6 s, the proxies are back at 11 s,
-        one gains the duty at 11.8 s, and no promotion is considered up to
-        the end at 39 s.
+        """A proxy that starts while there is no primary promotes a replica.
+
+        Guards against writes that are refused forever: a primary is demoted
+        for a promotion, all proxies are killed before another upstream is
+        ordered to lead, and after their restart all upstreams are replicas.
+        A primary that was never observed was not treated as lost. In the
+        soak of seed 229 the demotion was at 9.6 s, the restart at 11 s and
+        the promotion lease was gained at 11.8 s, but no promotion was
+        considered up to the end at 39 s.
         """
         self.run_on_platform(self.nobody_leads)
 
@@ -281,21 +276,21 @@
         self.store.promote = promote
         await proxy.start()
 
-        async def holds_duty() -> bool:
+        async def holds_lease() -> bool:
             return 'topazring_holds_duty 1' in await proxy.get('/metrics')
 
-        await support.wait_until(holds_duty)
+        await support.wait_until(holds_lease)
 
         async def is_written() -> bool:
             caller = await self.session('own')
-            said = await caller.query('WRITE k v')
+            answer = await caller.query('WRITE k v')
             caller.close()
-            return said[0].startswith('DONE')
+            return answer[0].startswith('DONE')
 
         await support.wait_until(is_written, 10.0)
 
     def test_log_and_metrics(self):
-        """They explain a refusal, and hold nobody's data."""
+        """Log and metrics explain a refusal and contain no callers' data."""
         self.run_on_platform(self.log_and_metrics)
 
     async def log_and_metrics(self):
@@ -305,8 +300,8 @@
         await caller.query('READ secret-key')
         for member in list(self.group.members):
             self.group.crash(member.name)
-        said = await caller.query('WRITE secret-key secret-data')
-        self.assertTrue(said[0].startswith('ERROR'), said)
+        answer = await caller.query('WRITE secret-key secret-data')
+        self.assertTrue(answer[0].startswith('ERROR'), answer)
         metrics = await proxy.get('/metrics')
         self.assertIn('topazring_answers_total', metrics)
         self.assertIn('notrun_no_primary', metrics)
@@ -325,7 +320,7 @@
         self.assertEqual(1, sum(reads))
 
     def test_settings(self):
-        """A fault is told in one line with the field's name."""
+        """A settings error is reported with the name of the field."""
         self.run_on_platform(self.settings)
 
     async def settings(self):
@@ -335,7 +330,9 @@
         proxy.log.write_text('')
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(proxy.start(), 1.5)
-        # Python alone may take longer than that to start on a busy machine.
-        ended = await asyncio.wait_for(proxy.process.wait(), ENDS_S)
-        self.assertEqual(2, ended)
+        # On a busy machine, starting Python alone may exceed this timeout.
+        exit_code = await asyncio.wait_for(
+            proxy.process.wait(), EXIT_TIMEOUT_S
+        )
+        self.assertEqual(2, exit_code)
         self.assertIn('data_centre', proxy.log.read_text())
