--- a/topazring/platform/tests/support.py
+++ b/topazring/platform/tests/support.py
@@ -221,7 +221,9 @@
         except Exception:
             for proxy in self.proxies:
                 if proxy.process is not None:
-                    failure_logs.show(self, proxy.name, proxy.log.read_text())
+                    failure_logs.attach_log(
+                        self, proxy.name, proxy.log.read_text()
+                    )
             raise
         finally:
             for proxy in self.proxies:
--- a/topazring/proxy/knowledge.py
+++ b/topazring/proxy/cluster_state.py
@@ -22,7 +22,7 @@
 from topazring.proxy import gossip as gossips
 from topazring.proxy import settings
 
-__all__ = ['CONFIGURATION', 'INSTANCES', 'Knowledge']
+__all__ = ['CONFIGURATION', 'INSTANCES', 'ClusterState']
 
 logger = logs.part_logger('knowledge')
 
@@ -46,7 +46,7 @@
     confirmed_ms: int | None = None
 
 
-class Knowledge:
+class ClusterState:
     """Own the two streams, the watch on the service and the gossip."""
 
     def __init__(
@@ -95,7 +95,7 @@
                 await task
         await self.gossip.close()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Say whether there is a configuration to act on."""
         return self.streams[CONFIGURATION].revisions.seen > 0
 
--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -12,8 +12,8 @@
 from topazring.core import requests
 from topazring.core import windows
 from topazring.plumbing import clock
+from topazring.proxy import cluster_state as knowledges
 from topazring.proxy import hop
-from topazring.proxy import knowledge as knowledges
 from topazring.proxy import ownership as ownerships
 
 __all__ = ['Bound', 'Entry', 'Job']
@@ -55,11 +55,11 @@
     def __init__(
         self,
         name: str,
-        knowledge: knowledges.Knowledge,
+        knowledge: knowledges.ClusterState,
         ownership: ownerships.Ownership,
     ):
         self.name = name
-        self.knowledge = knowledge
+        self.cluster_state = knowledge
         self.ownership = ownership
         self.clients: dict[str, hop.HopClient] = {}
         # What is under way to each owner, for each database.
@@ -92,7 +92,7 @@
 
     def refresh(self) -> None:
         """Close streams to processes that are gone."""
-        listed = self.knowledge.members.listed
+        listed = self.cluster_state.members.listed
         for key, client in list(self.clients.items()):
             name, incarnation = key
             member = listed.get(name)
@@ -151,7 +151,7 @@
         """Return the owners, those first that can be reached from here."""
         owners = self.ownership.owners_of(job.database)
         now_ms = clock.monotonic_ms()
-        members = self.knowledge.members
+        members = self.cluster_state.members
         near = [
             n for n in owners if membership.is_reachable(members, n, now_ms)
         ]
@@ -197,7 +197,7 @@
     def _note_lost(
         self, owner: str, now_ms: int, lost: messages.ConnectionLost
     ) -> None:
-        membership.record_failure(self.knowledge.members, owner, now_ms)
+        membership.record_failure(self.cluster_state.members, owner, now_ms)
         key = f'{lost.reason}_{"sent" if lost.sent else "not_sent"}'
         self.retries[key] = self.retries.get(key, 0) + 1
 
@@ -263,7 +263,7 @@
         return outcome, key if began else 0
 
     def _client(self, owner: str) -> hop.HopClient | None:
-        member = self.knowledge.members.listed.get(owner)
+        member = self.cluster_state.members.listed.get(owner)
         if member is None:
             return self._old_client(owner)
         key = (owner, member.incarnation)
--- a/topazring/proxy/owner_task.py
+++ b/topazring/proxy/owner_task.py
@@ -23,7 +23,7 @@
 from topazring.proxy import control_link
 from topazring.proxy import sql_pool
 
-__all__ = ['Explanation', 'OwnerTask', 'Peers']
+__all__ = ['Explanation', 'OwnerTask', 'SuspicionSender']
 
 logger = logs.part_logger('owner')
 
@@ -47,7 +47,7 @@
     why: str
 
 
-class Peers:
+class SuspicionSender:
     """Carry what an owner tells the others; the gossip implements it."""
 
     def tell_suspicion(
@@ -68,7 +68,7 @@
         owners_a_database: int,
         limits: states.Limits,
         platform: platform_client.PlatformClient,
-        peers: Peers,
+        peers: SuspicionSender,
         routes: dict[str, str],
     ):
         self.name = name
--- a/topazring/proxy/ownership.py
+++ b/topazring/proxy/ownership.py
@@ -13,8 +13,8 @@
 from topazring import platform_client
 from topazring.plumbing import clock
 from topazring.plumbing import logs
+from topazring.proxy import cluster_state as knowledges
 from topazring.proxy import gossip as gossips
-from topazring.proxy import knowledge as knowledges
 from topazring.proxy import owner_task
 from topazring.proxy import settings
 
@@ -37,12 +37,12 @@
         config: settings.ProxySettings,
         incarnation: str,
         platform: platform_client.PlatformClient,
-        knowledge: knowledges.Knowledge,
+        knowledge: knowledges.ClusterState,
     ):
         self.config = config
         self.incarnation = incarnation
         self.platform = platform
-        self.knowledge = knowledge
+        self.cluster_state = knowledge
         self.owners: dict[str, owner_task.OwnerTask] = {}
         self.used_ms: dict[str, int] = {}
         self.placement = placements.Placement(config.owners_a_database)
@@ -67,7 +67,7 @@
         """
         for name in databases:
             self._take_configuration(name)
-        candidates = membership.candidates_of(self.knowledge.members)
+        candidates = membership.candidates_of(self.cluster_state.members)
         moved = placements.set_candidates(self.placement, candidates)
         for name in moved | databases:
             if self._may_own(name):
@@ -76,14 +76,14 @@
 
     def _may_own(self, name: str) -> bool:
         """Say whether it is worth working out the owners beforehand."""
-        region = self.knowledge.catalogue.regions.get(name)
+        region = self.cluster_state.catalogue.regions.get(name)
         if region is None:
             return False
         home = region == self.config.region
         return home or region not in self.placement.regions
 
     def _take_configuration(self, name: str) -> None:
-        known = self.knowledge.catalogue
+        known = self.cluster_state.catalogue
         owner = self.owners.get(name)
         if owner is not None and owner.database != known.database(name):
             self._let_go(name)
@@ -107,7 +107,7 @@
         if owner is None:
             return
         owner.post(messages.OwnersChanged(owners))
-        leaving = self.knowledge.leaving_upstreams
+        leaving = self.cluster_state.leaving_upstreams
         owner.post(messages.UpstreamsLeaving(leaving))
         idle_ms = clock.monotonic_ms() - self.used_ms[name]
         if not owned and idle_ms > IDLE_MS and not owner.answers:
@@ -115,7 +115,7 @@
 
     def _take(self, name: str) -> owner_task.OwnerTask | None:
         owner = self.owners.get(name)
-        database = self.knowledge.catalogue.database(name)
+        database = self.cluster_state.catalogue.database(name)
         if owner is not None or database is None:
             return owner
         count = self.config.owners_a_database
@@ -132,7 +132,7 @@
             count,
             limits,
             self.platform,
-            self.knowledge,
+            self.cluster_state,
             {n: f'{e.host}:{e.port}' for n, e in self.config.routes.items()},
         )
         self.owners[database.name] = owner
--- a/topazring/proxy/process.py
+++ b/topazring/proxy/process.py
@@ -11,9 +11,9 @@
 from topazring import platform_client
 from topazring.plumbing import clock
 from topazring.plumbing import logs
+from topazring.proxy import cluster_state as knowledges
 from topazring.proxy import entry as entries
 from topazring.proxy import hop
-from topazring.proxy import knowledge as knowledges
 from topazring.proxy import metrics as metric_sets
 from topazring.proxy import operators
 from topazring.proxy import ownership as ownerships
@@ -51,7 +51,7 @@
         self.platform = platform_client.PlatformClient(
             config.platform.host, config.platform.port, config.name
         )
-        self.knowledge = knowledges.Knowledge(
+        self.cluster_state = knowledges.ClusterState(
             config,
             self.incarnation,
             self.platform,
@@ -59,11 +59,13 @@
             self._suspected,
         )
         self.ownership = ownerships.Ownership(
-            config, self.incarnation, self.platform, self.knowledge
+            config, self.incarnation, self.platform, self.cluster_state
+        )
+        self.entry = entries.Entry(
+            config.name, self.cluster_state, self.ownership
         )
-        self.entry = entries.Entry(config.name, self.knowledge, self.ownership)
         self.front = sessions.Front(
-            config, self.knowledge, self.entry, self.metrics
+            config, self.cluster_state, self.entry, self.metrics
         )
         self.hop_server = hop.HopServer(self.entry.serve_hop)
         self.servers: list[httpserver.HTTPServer] = []
@@ -78,7 +80,7 @@
         route = ('/session', sessions.SessionSocket, {'front': self.front})
         self._listen([route], config.caller_port)
         self.entry.start()
-        await self.knowledge.start()
+        await self.cluster_state.start()
         self.task = asyncio.create_task(self._refresh_forever())
         logger.info('%s runs as %s', config.name, self.incarnation)
 
@@ -135,7 +137,7 @@
         """Return live, ready or leaving."""
         if self.leaving:
             return 'leaving'
-        return 'ready' if self.knowledge.ready() else 'live'
+        return 'ready' if self.cluster_state.is_ready() else 'live'
 
     async def drain(self) -> None:
         """Finish what is open, up to the limit in the settings.
@@ -146,7 +148,7 @@
         self.leaving = True
         logger.info('leaves')
         self.ownership.drain()
-        self.knowledge.tell_leaving()
+        self.cluster_state.tell_leaving()
         await self.platform.withdraw(self.config.name)
         await asyncio.sleep(LEAVING_S)
         self.front.drain()
@@ -169,7 +171,7 @@
         for server in self.servers:
             server.stop()
         self.hop_server.stop()
-        await self.knowledge.close()
+        await self.cluster_state.close()
         self.entry.close()
         await self.ownership.close()
         self.platform.close()
@@ -177,15 +179,15 @@
     def status(self) -> dict:
         """Return what operators are shown."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        members = self.knowledge.members
+        members = self.cluster_state.members
         return {
             'name': self.config.name,
             'incarnation': self.incarnation,
             'pid': os.getpid(),
             'state': self.health(),
             'up_ms': clock.monotonic_ms() - self.started_ms,
-            'seen': self.knowledge.seen(),
-            'confirmed_ms_ago': self.knowledge.ages_ms(),
+            'seen': self.cluster_state.seen(),
+            'confirmed_ms_ago': self.cluster_state.ages_ms(),
             'members': sorted(members.listed),
             'owns': sorted(self.ownership.owners),
             'sessions': len(self.front.sockets),
@@ -193,11 +195,11 @@
             'hops': self.entry.hops,
             'platform_calls': dict(self.platform.calls),
             'gossip_bytes': [
-                self.knowledge.gossip.sent_bytes,
-                self.knowledge.gossip.received_bytes,
+                self.cluster_state.gossip.sent_bytes,
+                self.cluster_state.gossip.received_bytes,
             ],
             'control_bytes': self.ownership.control_bytes(),
-            'databases': len(self.knowledge.catalogue.regions),
+            'databases': len(self.cluster_state.catalogue.regions),
             'processor_s': round(usage.ru_utime + usage.ru_stime, 3),
             'resident_kb': resident_kb(),
             'peak_kb': usage.ru_maxrss,
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -14,9 +14,9 @@
 from topazring.core import tokens
 from topazring.plumbing import clock
 from topazring.plumbing import sockets
+from topazring.proxy import cluster_state as knowledges
 from topazring.proxy import entry as entries
 from topazring.proxy import frames
-from topazring.proxy import knowledge as knowledges
 from topazring.proxy import metrics as metric_sets
 from topazring.proxy import settings
 
@@ -57,12 +57,12 @@
     def __init__(
         self,
         config: settings.ProxySettings,
-        knowledge: knowledges.Knowledge,
+        knowledge: knowledges.ClusterState,
         entry: entries.Entry,
         metrics: metric_sets.Metrics,
     ):
         self.config = config
-        self.knowledge = knowledge
+        self.cluster_state = knowledge
         self.entry = entry
         self.metrics = metrics
         self.sockets: set[SessionSocket] = set()
@@ -186,9 +186,9 @@
     ) -> outcomes.NotRun | outcomes.Rejected | None:
         if self.session is not None:
             return outcomes.Rejected(Reason.BAD_FRAME, 'a second hello')
-        if not self.front.knowledge.ready():
+        if not self.front.cluster_state.is_ready():
             return outcomes.NotRun(Reason.NO_CONFIGURATION, RETRY_MS)
-        known = self.front.knowledge.catalogue
+        known = self.front.cluster_state.catalogue
         organisation = known.organisations.get(frame.organisation)
         given = catalogue.hash_key(frame.key)
         expected = organisation.key_sha256 if organisation else ''
@@ -223,7 +223,7 @@
         try:
             told = tokens.verify_token(
                 token,
-                self.front.knowledge.catalogue.verifying_keys(),
+                self.front.cluster_state.catalogue.verifying_keys(),
                 session.organisation,
                 session.database,
             )
@@ -234,7 +234,7 @@
 
     def _token(self) -> str:
         session = self.session
-        key = self.front.knowledge.catalogue.signing_key()
+        key = self.front.cluster_state.catalogue.signing_key()
         if key is None:
             return ''
         return tokens.sign_token(
@@ -294,7 +294,7 @@
         session = self.session
         if session is None:
             return outcomes.Rejected(Reason.BAD_FRAME, 'hello comes first')
-        known = self.front.knowledge.catalogue
+        known = self.front.cluster_state.catalogue
         database = known.database(session.database)
         if database is None:
             return outcomes.Rejected(Reason.UNKNOWN_DATABASE, session.database)
--- a/topazring/tests/rivals.py
+++ b/topazring/tests/rivals.py
@@ -57,7 +57,7 @@
             socket.close()
 
 
-async def make(fleet, database):
+async def make_rival(fleet, database):
     """Return a rival, with terms granted by compare-and-swap."""
     key = f'group/{database}'
     while True:
--- a/topazring/tests/support.py
+++ b/topazring/tests/support.py
@@ -19,7 +19,7 @@
 class FleetTestCase(testtools.TestCase):
     """Give each test a fleet of its own, and end it."""
 
-    def on_fleet(self, steps, **plan):
+    def run_on_fleet(self, steps, **plan):
         """Run `steps(fleet)` on a fleet with the given plan."""
         asyncio.run(self._on_fleet(steps, plans.Plan(**plan)))
 
@@ -30,7 +30,7 @@
             await steps(fleet)
         except Exception:
             for name in fleet.processes:
-                failure_logs.show(self, name, fleet.log_of(name))
+                failure_logs.attach_log(self, name, fleet.log_of(name))
             raise
         finally:
             await fleet.close()
@@ -49,7 +49,7 @@
         self.assertEqual([], false, 'said not to have run')
         self.assertEqual([], stats.violations)
 
-    async def load_through(self, fleet, fault, seconds=5.0, **mix):
+    async def load_during_fault(self, fleet, fault, seconds=5.0, **mix):
         """Load the fleet, cause the fault in the middle, check it all."""
         # Sessions move between proxies all the while, also in the middle
         # of the fault.
@@ -97,6 +97,6 @@
     return [name for name in names if name != primary]
 
 
-def acked_by_others(stats, primary):
+def acknowledged_by_others(stats, primary):
     """Return whether writes were acknowledged by another primary."""
     return any(name != primary for _, name in stats.acknowledged)
--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -58,7 +58,7 @@
                 session = await fleet.session(f'p{number + 1}', 'new')
                 await session.close()
 
-        self.on_fleet(steps, proxies=6)
+        self.run_on_fleet(steps, proxies=6)
 
     def test_frozen_proxy_is_named(self):
         """Symptom: a change is called in force and one proxy lacks it.
@@ -78,7 +78,7 @@
             fleet.thaw('p2')
             await in_force(fleet, revision, ['p2'])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_database_reconfigured_under_load(self):
         """Symptom: requests that hang for good after a reconfiguration.
@@ -106,7 +106,7 @@
                     revision = result.revision
                     await asyncio.sleep(0.7)
 
-            stats = await self.load_through(fleet, fault, rate=300)
+            stats = await self.load_during_fault(fleet, fault, rate=300)
             answered = sum(stats.outcomes.values())
             self.assertEqual(stats.sent, answered)
             self.assertFalse([n for n in stats.outcomes if 'unknown' in n])
@@ -114,7 +114,7 @@
                 # Microseconds; the longest deadline is 8 s.
                 self.assertLess(recorded.get_max_value(), 20e6, kind)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_operators_race_on_one_profile(self):
         """Symptom: an operator's change vanishes without a word.
@@ -147,7 +147,7 @@
                 self.assertEqual(stored.value, raced.theirs)
                 self.assertNotEqual(stored.value, raced.ours)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_answer_of_the_swap_is_lost(self):
         """Symptom: an operator is told of a race with himself.
@@ -186,7 +186,7 @@
             through.close()
             self.assertIsInstance(result, changes.Accepted)
 
-        self.on_fleet(steps, faults=True)
+        self.run_on_fleet(steps, faults=True)
 
     def test_start_and_replace_while_the_service_is_down(self):
         """Symptom: a proxy replaced during an outage refuses everything.
@@ -216,7 +216,7 @@
             revision = await self.set_profile(fleet, 'later')
             await in_force(fleet, revision, ['p1', 'p2', 'p3'])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_service_frozen_and_slow(self):
         """Symptom: requests fail because the configuration cannot be read.
@@ -231,13 +231,13 @@
                 await asyncio.sleep(4.0)
                 fleet.thaw('platform')
 
-            stats = await self.load_through(fleet, fault, seconds=7.0)
+            stats = await self.load_during_fault(fleet, fault, seconds=7.0)
             bad = [n for n in stats.outcomes if not n.endswith(' done')]
             self.assertEqual([], bad)
             revision = await self.set_profile(fleet, 'after')
             await in_force(fleet, revision, ['p1', 'p2', 'p3'])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_proxy_cut_off_from_the_service_only(self):
         """Symptom: one proxy serves by an old profile for hours.
@@ -253,7 +253,7 @@
             session = await fleet.session('p1', 'gossiped')
             await session.close()
 
-        self.on_fleet(steps, faults=True, proxies=6)
+        self.run_on_fleet(steps, faults=True, proxies=6)
 
     def test_paused_proxy_never_goes_back(self):
         """Symptom: a woken proxy brings an old profile back to the fleet.
@@ -283,7 +283,7 @@
                     self.assertGreaterEqual(new, old)
             await in_force(fleet, last, ['p3'])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_stale_list_cannot_bring_a_process_back(self):
         """Symptom: owners keep sending to an instance that has gone.
@@ -312,4 +312,4 @@
             new = (await statuses(fleet))['p2']
             self.assertNotEqual(old['incarnation'], new['incarnation'])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
--- a/topazring/tests/test_failover.py
+++ b/topazring/tests/test_failover.py
@@ -19,10 +19,12 @@
 
         async def steps(fleet):
             primary = await fleet.primary_of('calc1')
-            stats = await self.load_through(fleet, lambda: fleet.kill(primary))
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(
+                fleet, lambda: fleet.kill(primary)
+            )
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_primary_frozen_and_thawed(self):
         """Symptom: a score acknowledged by a primary that was replaced.
@@ -40,11 +42,11 @@
                 await asyncio.sleep(2.0)
                 fleet.thaw(primary)
 
-            stats = await self.load_through(fleet, fault)
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault)
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
             await self.wait_follows(fleet, primary)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     async def wait_follows(self, fleet, name):
         """Wait until an old primary holds the new one's log."""
@@ -80,13 +82,13 @@
                 grown.append(len((await fleet.ledger(primary))['log']))
                 await heal(fleet, primary)
 
-            stats = await self.load_through(fleet, fault)
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault)
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
             self.assertGreater(grown[0], before)
             await self.wait_follows(fleet, primary)
             self.assertIn('drops its log', fleet.log_of(primary))
 
-        self.on_fleet(steps, faults=True)
+        self.run_on_fleet(steps, faults=True)
 
     def test_service_down_while_the_primary_is_lost(self):
         """Symptom: writes stand still until the platform's service is back.
@@ -104,10 +106,10 @@
                 await asyncio.sleep(3.0)
                 fleet.thaw('platform')
 
-            stats = await self.load_through(fleet, fault)
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault)
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_first_owner_dies_with_the_primary(self):
         """Symptom: no failover when an instance with both roles' host dies.
@@ -125,10 +127,10 @@
                     fleet.kill(primary), fleet.kill(owners[0])
                 )
 
-            stats = await self.load_through(fleet, fault, seconds=7.0)
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault, seconds=7.0)
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_second_failure_in_one_outage(self):
         """Symptom: the second failover of an outage never happens.
@@ -151,9 +153,9 @@
                 await self.wait_other(fleet, second)
                 fleet.thaw('platform')
 
-            await self.load_through(fleet, fault, seconds=8.0)
+            await self.load_during_fault(fleet, fault, seconds=8.0)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     async def wait_other(self, fleet, lost):
         """Wait until an upstream other than `lost` leads."""
@@ -179,7 +181,7 @@
 
         async def steps(fleet):
             primary = await fleet.primary_of('calc1')
-            rival = await rivals.make(fleet, 'calc1')
+            rival = await rivals.make_rival(fleet, 'calc1')
             names = support.replicas_of(fleet, primary)
             # One replica lags, so it matters which one is promoted.
             await fleet.post(f'{names[0]}/set', {'lag_ms': 400})
@@ -190,7 +192,7 @@
                     await rival.promote(names)
                     await asyncio.sleep(0.35)
 
-            await self.load_through(fleet, fault, seconds=7.0)
+            await self.load_during_fault(fleet, fault, seconds=7.0)
             self.assertGreater(rival.promoted, 0)
             leaders = {}
             for name in names:
@@ -201,7 +203,7 @@
                     self.assertEqual(led, name, entry)
             await rival.close()
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_replicas_far_behind(self):
         """Symptom: writes end in doubt when replicas cannot keep up.
@@ -235,7 +237,7 @@
 
             await support.fleets.wait_until(accepted, 'accepted', 60)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_session_roams_through_a_promotion(self):
         """Symptom: a checker at another office sees the older beam size.
@@ -264,7 +266,7 @@
                 read = await session.read(support.SELECT)
                 self.assertEqual(sizes, [row[0] for row in read.rows])
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
 
 async def heal(fleet, primary):
--- a/topazring/tests/test_protocol.py
+++ b/topazring/tests/test_protocol.py
@@ -10,7 +10,7 @@
     """Bad input is answered; the connection and the process survive."""
 
     def test_bad_input(self):
-        self.on_fleet(self._bad_input, proxies=2)
+        self.run_on_fleet(self._bad_input, proxies=2)
 
     async def _bad_input(self, fleet):
         session = await fleet.session('p1')
@@ -111,7 +111,7 @@
             read = await session.read(support.SELECT)
             self.assertEqual([['a'], ['b']], read.rows)
 
-        self.on_fleet(steps, proxies=2)
+        self.run_on_fleet(steps, proxies=2)
 
     def test_conflicting_transactions(self):
         """Symptom: two reviewers' changes overwrite each other.
@@ -134,7 +134,7 @@
             read = await first.read(support.SELECT)
             self.assertEqual([['x']], read.rows)
 
-        self.on_fleet(steps, proxies=2)
+        self.run_on_fleet(steps, proxies=2)
 
     def test_seen_from_outside(self):
         async def steps(fleet):
@@ -150,4 +150,4 @@
             status = await fleet.get('p1 operator', '/status')
             self.assertIsNotNone(json.dumps(status))
 
-        self.on_fleet(steps, proxies=2)
+        self.run_on_fleet(steps, proxies=2)
--- a/topazring/tests/test_fates.py
+++ b/topazring/tests/test_request_outcomes.py
@@ -24,12 +24,12 @@
 
         async def steps(fleet):
             owners = await fleet.owners_of('calc1')
-            stats = await self.load_through(
+            stats = await self.load_during_fault(
                 fleet, lambda: fleet.kill(owners[0]), rate=200
             )
             self.assertGreater(len(stats.done_ids), 50)
 
-        self.on_fleet(steps, proxies=4)
+        self.run_on_fleet(steps, proxies=4)
 
     def test_proxy_killed_in_a_transaction(self):
         """Symptom: half a transaction shows, or its connection is stuck.
@@ -60,7 +60,7 @@
             read = await other.read(support.SELECT)
             self.assertEqual([], read.rows)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_answer_lost_after_the_write_took_effect(self):
         """Symptom: a save lands twice; two revisions argue on one drawing.
@@ -84,7 +84,7 @@
             self.assertEqual(1, await support.count_runs(fleet, request_id))
             self.assertEqual(primary, await fleet.primary_of('calc1'))
 
-        self.on_fleet(steps, faults=True)
+        self.run_on_fleet(steps, faults=True)
 
     def test_id_repeated_before_during_and_after_a_promotion(self):
         """Symptom: a caller that lost its answer runs its save again.
@@ -118,7 +118,7 @@
             read = await sessions[1].read(support.SELECT)
             self.assertEqual([['IPE300']], read.rows)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_late_answers_reach_nobody_else(self):
         """Symptom: a caller is shown another's rows.
@@ -157,7 +157,7 @@
 
             await support.fleets.wait_until(recovered, 'reads work again')
 
-        self.on_fleet(steps, faults=True)
+        self.run_on_fleet(steps, faults=True)
 
     def test_all_connections_go_silent_at_once(self):
         """Symptom: a promotion, or a stall, though the primary is well.
@@ -179,13 +179,13 @@
                         only='old',
                     )
 
-            stats = await self.load_through(fleet, fault)
-            self.assertFalse(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault)
+            self.assertFalse(support.acknowledged_by_others(stats, primary))
             self.assertEqual(primary, await fleet.primary_of('calc1'))
             unknown = [n for n in stats.outcomes if 'write unknown' in n]
             self.assertEqual([], unknown)
 
-        self.on_fleet(steps, faults=True)
+        self.run_on_fleet(steps, faults=True)
 
     def test_organisations_share_nothing(self):
         """Symptom: one organisation reads or blocks what is another's.
@@ -224,7 +224,7 @@
             answer = await forged.start()
             self.assertEqual('forbidden', answer.reason)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
 
 class TestLeaving(support.FleetTestCase):
@@ -250,12 +250,12 @@
                     await fleet.spawn(name)
                     await fleet.wait_ready(name)
 
-            stats = await self.load_through(fleet, fault, seconds=9.0)
+            stats = await self.load_during_fault(fleet, fault, seconds=9.0)
             bad = [n for n in stats.outcomes if not n.endswith(' done')]
             self.assertEqual([], bad)
             self.assertGreater(stats.roams, 0)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_open_transaction_ends_before_its_proxy(self):
         """Symptom: a transaction lost to a shutdown that was announced.
@@ -281,7 +281,7 @@
             read = await other.read(support.SELECT)
             self.assertEqual([['IPE300'], ['HEB200']], read.rows)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
     def test_leaving_upstream_gets_nothing_new(self):
         """Symptom: statements cut when an upstream is taken away.
@@ -306,12 +306,12 @@
                 after = len((await fleet.ledger(primary))['ledger'])
                 self.assertEqual(before, after)
 
-            stats = await self.load_through(fleet, fault, seconds=6.0)
-            self.assertTrue(support.acked_by_others(stats, primary))
+            stats = await self.load_during_fault(fleet, fault, seconds=6.0)
+            self.assertTrue(support.acknowledged_by_others(stats, primary))
             bad = [n for n in stats.outcomes if not n.endswith(' done')]
             self.assertEqual([], bad)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
 
 
 class TestFairness(support.FleetTestCase):
@@ -351,4 +351,4 @@
             refused = [n for n in stats.outcomes if 'not_run' in n]
             self.assertNotEqual([], refused)
 
-        self.on_fleet(steps, statement_ms=5.0)
+        self.run_on_fleet(steps, statement_ms=5.0)
--- a/topazring/tests/test_whole_path.py
+++ b/topazring/tests/test_whole_path.py
@@ -25,4 +25,4 @@
                     read = await roamed.read('SELECT size FROM beams')
                     self.assertEqual([['IPE300']], read.rows)
 
-        self.on_fleet(steps)
+        self.run_on_fleet(steps)
