--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -16,17 +16,17 @@
 from topazring.proxy import hop
 from topazring.proxy import ownership as ownerships
 
-__all__ = ['Bound', 'Entry', 'Job']
+__all__ = ['OpenTransaction', 'Entry', 'Job']
 
 Kind = requests.Kind
 Reason = outcomes.Reason
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 # Of what waits for a database at its owner, one entry may fill this part.
-QUEUE_PART = 0.5
+QUEUE_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bound:
+class OpenTransaction:
     """Name the owner that holds a transaction, and its number there."""
 
     owner: str
@@ -45,7 +45,7 @@
     statements: tuple[requests.Statement, ...] = ()
     request_id: str = ''
     token_place: log_positions.LogPosition = log_positions.ORIGIN
-    bound: Bound | None = None
+    open_transaction: OpenTransaction | None = None
     repeat: bool = False
 
 
@@ -77,7 +77,7 @@
         # One timer for all: with a stream to each of 2,000 owners, a timer
         # a stream would be 20,000 wake-ups a second.
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             now_ms = clock.monotonic_ms()
             for client in self.clients.values():
                 client.tick(now_ms)
@@ -98,14 +98,16 @@
             member = listed.get(name)
             gone = member is None or member.incarnation != incarnation
             # A leaving owner still answers what it has.
-            if gone and not client.waiting:
+            if gone and not client.pending:
                 client.close()
                 del self.clients[key]
         for key, window in list(self.windows.items()):
             if key[0] not in listed and not window.total:
                 del self.windows[key]
 
-    async def run(self, job: Job) -> tuple[outcomes.Outcome, Bound | None]:
+    async def run(
+        self, job: Job
+    ) -> tuple[outcomes.Outcome, OpenTransaction | None]:
         """Return the final outcome, and the transaction if one began."""
         self.in_flight += 1
         try:
@@ -113,12 +115,14 @@
         finally:
             self.in_flight -= 1
 
-    async def _run(self, job: Job) -> tuple[outcomes.Outcome, Bound | None]:
+    async def _run(
+        self, job: Job
+    ) -> tuple[outcomes.Outcome, OpenTransaction | None]:
         plan = forwarding.make_plan(
             job.kind,
             job.profile.repeatable,
             job.deadline_ms,
-            job.bound.owner if job.bound else '',
+            job.open_transaction.owner if job.open_transaction else '',
             job.repeat,
         )
         while True:
@@ -133,19 +137,19 @@
             window = self._window(step.owner, job)
             if window and not windows.has_capacity(window, job.organisation):
                 if not plan.maybe_ran:
-                    return self._refuse(window), None
+                    return self._refuse_overload(window), None
                 # Its fate is open, so it waits for its turn to ask.
                 await asyncio.sleep(forwarding.PAUSE_MS / 1000)
                 continue
             result = await self._send_counted(job, step, window)
             if isinstance(result, messages.ConnectionLost):
-                self._note_lost(step.owner, now_ms, result)
+                self._record_lost_connection(step.owner, now_ms, result)
                 forwarding.record_result(plan, step.owner, result)
                 continue
             outcome, transaction = result
             forwarding.record_result(plan, step.owner, outcome)
             if transaction:
-                return outcome, Bound(step.owner, transaction)
+                return outcome, OpenTransaction(step.owner, transaction)
 
     def _owners(self, job: Job) -> tuple[str, ...]:
         """Return the owners, those first that can be reached from here."""
@@ -163,16 +167,16 @@
         An owner of this process is asked directly. A transaction's
         statements hold a connection, so the sooner they end the better.
         """
-        if owner == self.name or job.bound is not None:
+        if owner == self.name or job.open_transaction is not None:
             return None
         key = (owner, job.database.name)
         window = self.windows.get(key)
         if window is None:
-            most = int(self.ownership.config.limits.queue * QUEUE_PART)
+            most = int(self.ownership.config.limits.queue * QUEUE_SHARE)
             window = self.windows[key] = windows.Window(max(1, most))
         return window
 
-    def _refuse(self, window: windows.Window) -> outcomes.NotRun:
+    def _refuse_overload(self, window: windows.Window) -> outcomes.NotRun:
         key = f'{Reason.OVERLOAD}_not_sent'
         self.retries[key] = self.retries.get(key, 0) + 1
         after_ms = max(forwarding.PAUSE_MS, int(window.mean_answer_ms))
@@ -194,7 +198,7 @@
             took_ms = clock.monotonic_ms() - sent_ms
             windows.release(window, job.organisation, took_ms)
 
-    def _note_lost(
+    def _record_lost_connection(
         self, owner: str, now_ms: int, lost: messages.ConnectionLost
     ) -> None:
         membership.record_failure(self.cluster_state.members, owner, now_ms)
@@ -205,10 +209,12 @@
         self, job: Job, step: forwarding.Send
     ) -> tuple[outcomes.Outcome, int] | messages.ConnectionLost:
         kind = Kind.SETTLE if step.settle else job.kind
-        transaction = job.bound.transaction if job.bound else 0
+        transaction = (
+            job.open_transaction.transaction if job.open_transaction else 0
+        )
         if step.owner == self.name:
-            return await self._submit_here(job, step, kind, transaction)
-        client = self._client(step.owner)
+            return await self._submit_locally(job, step, kind, transaction)
+        client = self._client_for(step.owner)
         if client is None:
             return messages.ConnectionLost(Reason.OWNER_LOST, False)
         self.hops += 1
@@ -231,7 +237,7 @@
 
         return await client.call(make_frame)
 
-    async def _submit_here(
+    async def _submit_locally(
         self,
         job: Job,
         step: forwarding.Send,
@@ -262,10 +268,10 @@
         began = kind is Kind.BEGIN and done
         return outcome, key if began else 0
 
-    def _client(self, owner: str) -> hop.HopClient | None:
+    def _client_for(self, owner: str) -> hop.HopClient | None:
         member = self.cluster_state.members.listed.get(owner)
         if member is None:
-            return self._old_client(owner)
+            return self._find_client(owner)
         key = (owner, member.incarnation)
         client = self.clients.get(key)
         if client is None:
@@ -273,19 +279,19 @@
             self.clients[key] = client
         return client
 
-    def _old_client(self, owner: str) -> hop.HopClient | None:
+    def _find_client(self, owner: str) -> hop.HopClient | None:
         """Return the stream to an owner that left the list already."""
         for (name, _), client in self.clients.items():
             if name == owner:
                 return client
         return None
 
-    def withdraw(self, database: str, bound: Bound) -> None:
+    def withdraw(self, database: str, bound: OpenTransaction) -> None:
         """Roll back a transaction whose session ended."""
         if bound.owner == self.name:
             self.ownership.withdraw(database, bound.transaction)
             return
-        client = self._old_client(bound.owner)
+        client = self._find_client(bound.owner)
         if client is not None:
             client.withdraw(database, bound.transaction)
 
--- a/topazring/proxy/frames.py
+++ b/topazring/proxy/frames.py
@@ -7,7 +7,14 @@
 
 from topazring.core import outcomes
 
-__all__ = ['LEAVING', 'CallerFrame', 'FrameError', 'encode', 'id_of', 'parse']
+__all__ = [
+    'LEAVING_FRAME',
+    'CallerFrame',
+    'FrameError',
+    'encode',
+    'read_id',
+    'parse',
+]
 
 Value = str | int | float | bool | None
 Sql = typing.Annotated[str, pydantic.Field(min_length=1)]
@@ -112,14 +119,14 @@
         first = error.errors(include_url=False)[0]
         key = '.'.join(str(part) for part in first['loc'][1:])
         detail = f'{key}: {first["msg"]}' if key else first['msg']
-        raise FrameError(id_of(raw), detail) from None
+        raise FrameError(read_id(raw), detail) from None
 
 
 class _Id(msgspec.Struct):
     id: int | None = None
 
 
-def id_of(raw: str | bytes) -> int | None:
+def read_id(raw: str | bytes) -> int | None:
     """Return a frame's id, if so much of it can be read."""
     try:
         return msgspec.json.decode(raw, type=_Id).id
@@ -143,7 +150,7 @@
 
 _encode = msgspec.json.Encoder().encode
 # Tells a caller to move its session when it has nothing open here.
-LEAVING = _encode(AnswerFrame(None, 'leaving'))
+LEAVING_FRAME = _encode(AnswerFrame(None, 'leaving'))
 
 
 def encode(
--- a/topazring/proxy/hop.py
+++ b/topazring/proxy/hop.py
@@ -26,9 +26,9 @@
 
 logger = logs.part_logger('hop')
 
-CONNECT_S = 1.0
-PING_MS = 500
-SILENT_MS = 1500
+CONNECT_TIMEOUT_S = 1.0
+PING_AFTER_MS = 500
+PONG_TIMEOUT_MS = 1500
 
 
 class HopRequest(msgspec.Struct, array_like=True, tag='q'):
@@ -152,7 +152,7 @@
         try:
             while True:
                 frame = await _read_frame(stream)
-                self._take(stream, frame, begun)
+                self._handle_frame(stream, frame, begun)
         except (iostream.StreamClosedError, ValueError):
             stream.close()
         # The entry is gone, and with it the sessions that could go on with
@@ -160,7 +160,7 @@
         for database, transaction in begun:
             self.serve(Withdraw(database, transaction), None)
 
-    def _take(
+    def _handle_frame(
         self,
         stream: iostream.IOStream,
         frame: Frame,
@@ -199,15 +199,15 @@
         self.host = host
         self.port = port
         self.stream: iostream.IOStream | None = None
-        self.opening: asyncio.Task | None = None
-        self.waiting: dict[int, asyncio.Future] = {}
+        self.connect_task: asyncio.Task | None = None
+        self.pending: dict[int, asyncio.Future] = {}
         self.next_id = 1
-        self.heard_ms = 0
+        self.last_received_ms = 0
         self.pinged_ms = 0
 
     def close(self) -> None:
         """Close the stream."""
-        self._lose()
+        self._fail_pending()
 
     async def call(
         self, make_frame: collections.abc.Callable[[int], HopRequest]
@@ -218,12 +218,14 @@
         frame_id = self.next_id
         self.next_id += 1
         answered = asyncio.get_running_loop().create_future()
-        self.waiting[frame_id] = answered
-        if not self.waiting or len(self.waiting) == 1:
-            self.heard_ms = max(self.heard_ms, clock.monotonic_ms())
+        self.pending[frame_id] = answered
+        if not self.pending or len(self.pending) == 1:
+            self.last_received_ms = max(
+                self.last_received_ms, clock.monotonic_ms()
+            )
         if not _write_frame(self.stream, make_frame(frame_id)):
-            self.waiting.pop(frame_id, None)
-            self._lose()
+            self.pending.pop(frame_id, None)
+            self._fail_pending()
             return messages.ConnectionLost(outcomes.Reason.OWNER_LOST, True)
         return await answered
 
@@ -233,24 +235,24 @@
             _write_frame(self.stream, Withdraw(database, transaction))
 
     async def _connect(self) -> bool:
-        if self.opening is None:
-            self.opening = asyncio.create_task(self._open())
-        await asyncio.shield(self.opening)
+        if self.connect_task is None:
+            self.connect_task = asyncio.create_task(self._open())
+        await asyncio.shield(self.connect_task)
         return self.stream is not None
 
     async def _open(self) -> None:
         try:
             self.stream = await asyncio.wait_for(
                 tcpclient.TCPClient().connect(self.host, self.port),
-                CONNECT_S,
+                CONNECT_TIMEOUT_S,
             )
         except (OSError, asyncio.TimeoutError, iostream.StreamClosedError):
             self.stream = None
         finally:
-            self.opening = None
+            self.connect_task = None
         if self.stream is not None:
             self.stream.set_nodelay(True)
-            self.heard_ms = clock.monotonic_ms()
+            self.last_received_ms = clock.monotonic_ms()
             self.pinged_ms = 0
             asyncio.create_task(self._read(self.stream))
 
@@ -258,25 +260,25 @@
         try:
             while True:
                 frame = await _read_frame(stream)
-                self.heard_ms = clock.monotonic_ms()
+                self.last_received_ms = clock.monotonic_ms()
                 self.pinged_ms = 0
                 if isinstance(frame, HopAnswer):
-                    self._answered(frame)
+                    self._handle_answer(frame)
         except (iostream.StreamClosedError, ValueError):
             if self.stream is stream:
-                self._lose()
+                self._fail_pending()
 
-    def _answered(self, frame: HopAnswer) -> None:
-        waiting = self.waiting.pop(frame.id, None)
+    def _handle_answer(self, frame: HopAnswer) -> None:
+        waiting = self.pending.pop(frame.id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result((to_outcome(frame), frame.transaction))
 
-    def _lose(self) -> None:
+    def _fail_pending(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.close()
-        waiting = list(self.waiting.values())
-        self.waiting.clear()
+        waiting = list(self.pending.values())
+        self.pending.clear()
         for future in waiting:
             if not future.done():
                 lost = messages.ConnectionLost(
@@ -286,11 +288,14 @@
 
     def tick(self, now_ms: int) -> None:
         """Find a stream that went silent while requests wait on it."""
-        if self.stream is None or not self.waiting:
+        if self.stream is None or not self.pending:
             return
-        if self.pinged_ms and now_ms - self.pinged_ms > SILENT_MS:
+        if self.pinged_ms and now_ms - self.pinged_ms > PONG_TIMEOUT_MS:
             logger.warning('%s went silent', self.name)
-            self._lose()
-        elif not self.pinged_ms and now_ms - self.heard_ms > PING_MS:
+            self._fail_pending()
+        elif (
+            not self.pinged_ms
+            and now_ms - self.last_received_ms > PING_AFTER_MS
+        ):
             self.pinged_ms = now_ms
             _write_frame(self.stream, framing.Ping())
--- a/topazring/proxy/metrics.py
+++ b/topazring/proxy/metrics.py
@@ -10,9 +10,9 @@
 
 __all__ = ['Metrics']
 
-MOST_MS = 120_000
-DIGITS = 2
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+MAX_LATENCY_MS = 120_000
+SIGNIFICANT_DIGITS = 2
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics:
@@ -27,16 +27,20 @@
         self.registry = prometheus_client.CollectorRegistry()
         self.registry.register(self)
 
-    def note(self, kind: str, outcome: outcomes.Outcome, took_ms: int) -> None:
+    def record_answer(
+        self, kind: str, outcome: outcomes.Outcome, took_ms: int
+    ) -> None:
         """Count an answer and how long it took."""
         name = type(outcome).__name__.lower()
         reason = getattr(outcome, 'reason', '')
         self.answers[(name, str(reason))] += 1
         recorded = self.latency.get(kind)
         if recorded is None:
-            recorded = histogram.HdrHistogram(1, MOST_MS, DIGITS)
+            recorded = histogram.HdrHistogram(
+                1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS
+            )
             self.latency[kind] = recorded
-        recorded.record_value(max(1, min(took_ms, MOST_MS)))
+        recorded.record_value(max(1, min(took_ms, MAX_LATENCY_MS)))
 
     def add_source(self, name: str, help_text: str, read) -> None:
         """Add counters that `read()` returns as a mapping by label."""
@@ -59,7 +63,7 @@
             labels=['kind', 'percentile'],
         )
         for kind, recorded in self.latency.items():
-            for quantile in QUANTILES:
+            for quantile in PERCENTILES:
                 value = recorded.get_value_at_percentile(quantile)
                 latency.add_metric([kind, str(quantile)], value)
         yield latency
--- a/topazring/proxy/process.py
+++ b/topazring/proxy/process.py
@@ -64,7 +64,7 @@
         self.entry = entries.Entry(
             config.name, self.cluster_state, self.ownership
         )
-        self.front = sessions.Front(
+        self.front = sessions.Frontend(
             config, self.cluster_state, self.entry, self.metrics
         )
         self.hop_server = hop.HopServer(self.entry.serve_hop)
@@ -154,7 +154,7 @@
         self.front.drain()
         until_ms = clock.monotonic_ms() + self.config.limits.drain_ms
         while clock.monotonic_ms() < until_ms:
-            self.front.end_quiet(QUIET_MS)
+            self.front.close_idle_sessions(QUIET_MS)
             if not self.front.sockets and not self.ownership.busy():
                 break
             await asyncio.sleep(DRAIN_POLL_S)
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -20,7 +20,7 @@
 from topazring.proxy import metrics as metric_sets
 from topazring.proxy import settings
 
-__all__ = ['Front', 'Session', 'SessionSocket']
+__all__ = ['Frontend', 'Session', 'SessionSocket']
 
 Kind = requests.Kind
 Reason = outcomes.Reason
@@ -47,11 +47,11 @@
     database: str
     profile: str
     place: log_positions.LogPosition
-    bound: entries.Bound | None = None
+    open_transaction: entries.OpenTransaction | None = None
     in_flight: int = 0
 
 
-class Front:
+class Frontend:
     """Hold what all sessions of this proxy share."""
 
     def __init__(
@@ -76,14 +76,14 @@
         """
         self.draining = True
         for socket in list(self.sockets):
-            sockets.write_if_open(socket, frames.LEAVING)
+            sockets.write_if_open(socket, frames.LEAVING_FRAME)
 
-    def end_quiet(self, quiet_ms: int) -> None:
+    def close_idle_sessions(self, quiet_ms: int) -> None:
         """End the sessions whose callers do not heed the notice."""
         now_ms = clock.monotonic_ms()
         for socket in list(self.sockets):
-            if now_ms - socket.heard_ms >= quiet_ms:
-                socket.close_if_quiet()
+            if now_ms - socket.last_received_ms >= quiet_ms:
+                socket.close_if_idle()
 
     def busy(self) -> int:
         """Return how many sessions have something open."""
@@ -93,11 +93,11 @@
 class SessionSocket(websocket.WebSocketHandler):
     """Own one caller's connection."""
 
-    def initialize(self, front: Front) -> None:
+    def initialize(self, front: Frontend) -> None:
         self.front = front
         self.session: Session | None = None
         self.tasks: set[asyncio.Task] = set()
-        self.heard_ms = clock.monotonic_ms()
+        self.last_received_ms = clock.monotonic_ms()
 
     def prepare(self) -> None:
         limit = self.front.config.limits.sessions
@@ -118,31 +118,33 @@
     def on_close(self) -> None:
         self.front.sockets.discard(self)
         session = self.session
-        if session is not None and session.bound is not None:
-            self.front.entry.withdraw(session.database, session.bound)
-            session.bound = None
+        if session is not None and session.open_transaction is not None:
+            self.front.entry.withdraw(
+                session.database, session.open_transaction
+            )
+            session.open_transaction = None
 
     def is_busy(self) -> bool:
         """Say whether something of this session is open."""
         session = self.session
         if session is None:
             return False
-        return session.in_flight > 0 or session.bound is not None
+        return session.in_flight > 0 or session.open_transaction is not None
 
-    def close_if_quiet(self) -> None:
+    def close_if_idle(self) -> None:
         """End a session that has nothing open."""
         if not self.is_busy():
             self.close(CLOSE_GOING_AWAY, 'leaving')
 
     def on_message(self, raw: str | bytes) -> None:
-        self.heard_ms = clock.monotonic_ms()
+        self.last_received_ms = clock.monotonic_ms()
         limit = self.front.config.limits.message_bytes
         if len(raw) > limit:
             large = outcomes.Rejected(
                 Reason.TOO_LARGE, f'{len(raw)} bytes, {limit} at most'
             )
-            frame_id = frames.id_of(raw)
-            self._reply(frame_id, 'frame', large, self.heard_ms)
+            frame_id = frames.read_id(raw)
+            self._reply(frame_id, 'frame', large, self.last_received_ms)
             return
         try:
             frame = frames.parse(raw)
@@ -151,9 +153,9 @@
             self._reply(error.frame_id, 'frame', bad, clock.monotonic_ms())
             return
         if isinstance(frame, frames.Hello):
-            self._hello(frame)
+            self._handle_hello(frame)
             return
-        task = asyncio.create_task(self._serve(frame))
+        task = asyncio.create_task(self._serve_request(frame))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -166,17 +168,17 @@
         token: str = '',
     ) -> None:
         took_ms = clock.monotonic_ms() - began_ms
-        self.front.metrics.note(kind, outcome, took_ms)
+        self.front.metrics.record_answer(kind, outcome, took_ms)
         sockets.write_if_open(self, frames.encode(frame_id, outcome, token))
 
     # ---- hello ----
 
-    def _hello(self, frame: frames.Hello) -> None:
+    def _handle_hello(self, frame: frames.Hello) -> None:
         began_ms = clock.monotonic_ms()
         refusal = self._open_session(frame)
         if refusal is None:
             outcome = outcomes.Done([], self.session.place)
-            token = self._token()
+            token = self._make_token()
         else:
             outcome, token = refusal, ''
         self._reply(frame.id, 'hello', outcome, began_ms, token)
@@ -210,13 +212,13 @@
             frame.organisation, frame.database, frame.profile, place
         )
         if frame.token:
-            refusal = self._take_token(session, frame.token)
+            refusal = self._merge_token(session, frame.token)
             if refusal is not None:
                 return refusal
         self.session = session
         return None
 
-    def _take_token(
+    def _merge_token(
         self, session: Session, token: str
     ) -> outcomes.Rejected | None:
         """Have the session see at least what the token has seen."""
@@ -232,7 +234,7 @@
         session.place = max(session.place, told.place())
         return None
 
-    def _token(self) -> str:
+    def _make_token(self) -> str:
         session = self.session
         key = self.front.cluster_state.catalogue.signing_key()
         if key is None:
@@ -249,10 +251,10 @@
 
     # ---- requests ----
 
-    async def _serve(self, frame: frames.CallerFrame) -> None:
+    async def _serve_request(self, frame: frames.CallerFrame) -> None:
         began_ms = clock.monotonic_ms()
         kind = _KINDS[frame.type]
-        job = self._job(frame, kind, began_ms)
+        job = self._make_job(frame, kind, began_ms)
         if not isinstance(job, entries.Job):
             self._reply(frame.id, frame.type, job, began_ms)
             return
@@ -262,18 +264,18 @@
             outcome, bound = await self.front.entry.run(job)
         finally:
             session.in_flight -= 1
-        self._note_transaction(kind, outcome, bound)
+        self._update_transaction(kind, outcome, bound)
         token = ''
         if isinstance(outcome, outcomes.Done):
             session.place = max(session.place, outcome.place)
-            token = self._token()
+            token = self._make_token()
         self._reply(frame.id, frame.type, outcome, began_ms, token)
 
-    def _note_transaction(
+    def _update_transaction(
         self,
         kind: Kind,
         outcome: outcomes.Outcome,
-        bound: entries.Bound | None,
+        bound: entries.OpenTransaction | None,
     ) -> None:
         session = self.session
         if bound is not None:
@@ -281,13 +283,13 @@
                 # The caller left while its transaction began.
                 self.front.entry.withdraw(session.database, bound)
                 return
-            session.bound = bound
+            session.open_transaction = bound
         lost = getattr(outcome, 'reason', None) is Reason.TRANSACTION_LOST
         ended = kind in (Kind.COMMIT, Kind.ROLLBACK)
         if lost or ended:
-            session.bound = None
+            session.open_transaction = None
 
-    def _job(
+    def _make_job(
         self, frame: frames.CallerFrame, kind: Kind, now_ms: int
     ) -> entries.Job | outcomes.Outcome:
         """Return the job for a frame, or why there is none."""
@@ -301,10 +303,10 @@
         profile = known.profiles.get(session.profile)
         if profile is None:
             return outcomes.Rejected(Reason.UNKNOWN_PROFILE, session.profile)
-        refusal = self._refuse(frame, kind)
+        refusal = self._find_refusal(frame, kind)
         token = getattr(frame, 'token', None)
         if refusal is None and token:
-            refusal = self._take_token(session, token)
+            refusal = self._merge_token(session, token)
         if refusal is not None:
             return refusal
         return entries.Job(
@@ -316,11 +318,11 @@
             _statements(frame),
             getattr(frame, 'request_id', ''),
             session.place,
-            session.bound if kind in _NEEDS_TRANSACTION else None,
+            session.open_transaction if kind in _NEEDS_TRANSACTION else None,
             getattr(frame, 'repeat', False),
         )
 
-    def _refuse(
+    def _find_refusal(
         self, frame: frames.CallerFrame, kind: Kind
     ) -> outcomes.Outcome | None:
         session = self.session
@@ -334,11 +336,11 @@
             return outcomes.Rejected(
                 Reason.BAD_REQUEST_ID, 'want HEXMILLISECONDS-RANDOM'
             )
-        if kind is Kind.BEGIN and session.bound is not None:
+        if kind is Kind.BEGIN and session.open_transaction is not None:
             return outcomes.Rejected(
                 Reason.BAD_FRAME, 'a transaction is open already'
             )
-        if kind in _NEEDS_TRANSACTION and session.bound is None:
+        if kind in _NEEDS_TRANSACTION and session.open_transaction is None:
             if kind is Kind.COMMIT:
                 # Perhaps a second copy of a commit that took effect.
                 return None
--- a/topazring/proxy/sql_pool.py
+++ b/topazring/proxy/sql_pool.py
@@ -19,12 +19,12 @@
 
 Kind = requests.Kind
 Reason = outcomes.Reason
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 # A busy connection is asked for a sign of life after so long, an idle one
 # less often: what goes silent while idle is found before it is used again.
 BUSY_PING_MS = 250
 IDLE_PING_MS = 5000
-PONG_MS = 500
+PONG_TIMEOUT_MS = 500
 
 
 class SqlConnection:
@@ -41,7 +41,7 @@
         self.sent = False
         self.timer: asyncio.TimerHandle | None = None
         self.transaction = 0
-        self.heard_ms = clock.monotonic_ms()
+        self.last_received_ms = clock.monotonic_ms()
         self.pinged_ms = 0
         self.closed = False
 
@@ -50,18 +50,18 @@
         try:
             self.socket = await asyncio.wait_for(
                 websocket.websocket_connect(
-                    self.pool.url, on_message_callback=self._received
+                    self.pool.url, on_message_callback=self._handle_message
                 ),
-                CONNECT_S,
+                CONNECT_TIMEOUT_S,
             )
         except Exception:
-            self.lose(Reason.CONNECTION_LOST)
+            self.fail(Reason.CONNECTION_LOST)
             return
         if self.closed:
             control_link.abort(self.socket)
             return
-        self.socket.on_pong = self._heard
-        self._heard(b'')
+        self.socket.on_pong = self._record_activity
+        self._record_activity(b'')
         if self.execute is not None:
             self._write()
         else:
@@ -74,7 +74,7 @@
         timeout_s = execute.timeout_ms / 1000
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(
-            timeout_s, self.lose, Reason.UPSTREAM_TIMEOUT
+            timeout_s, self.fail, Reason.UPSTREAM_TIMEOUT
         )
         if self.socket is not None:
             self._write()
@@ -96,32 +96,32 @@
         )
         self.sent = True
         self.pinged_ms = 0
-        self.heard_ms = clock.monotonic_ms()
+        self.last_received_ms = clock.monotonic_ms()
         if not sockets.write_if_open(self.socket, wire.encode(ask)):
-            self.lose(Reason.CONNECTION_LOST)
+            self.fail(Reason.CONNECTION_LOST)
 
-    def _heard(self, data: bytes) -> None:
-        self.heard_ms = clock.monotonic_ms()
+    def _record_activity(self, data: bytes) -> None:
+        self.last_received_ms = clock.monotonic_ms()
         self.pinged_ms = 0
 
-    def _received(self, raw: str | None) -> None:
+    def _handle_message(self, raw: str | None) -> None:
         if raw is None:
-            self.lose(Reason.CONNECTION_LOST)
+            self.fail(Reason.CONNECTION_LOST)
             return
-        self._heard(b'')
+        self._record_activity(b'')
         reply = wire.decode_sql_reply(raw)
         if self.execute is None or reply.id != self.execute.attempt:
-            self.lose(Reason.CONNECTION_LOST)
+            self.fail(Reason.CONNECTION_LOST)
             return
         execute, self.execute = self.execute, None
         self.timer.cancel()
         result = _result(self.pool.name, reply)
-        self._note_transaction(execute, result)
+        self._update_transaction(execute, result)
         if not self.transaction:
             self.pool.release(self)
         self.pool.finish(execute, result)
 
-    def _note_transaction(self, execute, result) -> None:
+    def _update_transaction(self, execute, result) -> None:
         ran = isinstance(result, messages.Ran)
         if execute.kind is Kind.BEGIN and ran:
             self.transaction = execute.key
@@ -130,7 +130,7 @@
             self.pool.transactions.pop(self.transaction, None)
             self.transaction = 0
 
-    def lose(self, reason: Reason) -> None:
+    def fail(self, reason: Reason) -> None:
         """Close for good; what was under way has an open fate."""
         if self.closed:
             return
@@ -139,7 +139,7 @@
             self.timer.cancel()
         if self.socket is not None:
             control_link.abort(self.socket)
-        self.pool.forget(self)
+        self.pool.remove_connection(self)
         if self.execute is not None:
             execute, self.execute = self.execute, None
             self.pool.finish(
@@ -151,12 +151,12 @@
         if self.socket is None:
             return
         if self.pinged_ms:
-            if now_ms - self.pinged_ms > PONG_MS:
-                self.pool.silent += 1
-                self.lose(Reason.UPSTREAM_TIMEOUT)
+            if now_ms - self.pinged_ms > PONG_TIMEOUT_MS:
+                self.pool.timed_out_pings += 1
+                self.fail(Reason.UPSTREAM_TIMEOUT)
             return
         period_ms = BUSY_PING_MS if self.execute else IDLE_PING_MS
-        if now_ms - self.heard_ms > period_ms:
+        if now_ms - self.last_received_ms > period_ms:
             self.pinged_ms = now_ms
             with contextlib.suppress(websocket.WebSocketClosedError):
                 self.socket.ping()
@@ -180,14 +180,14 @@
         self.idle: collections.deque[SqlConnection] = collections.deque()
         self.transactions: dict[int, SqlConnection] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.silent = 0
+        self.timed_out_pings = 0
         self.closed = False
 
     def close(self) -> None:
         """Close every connection; nothing is run from now on."""
         self.closed = True
         for connection in list(self.connections):
-            connection.lose(Reason.CONNECTION_LOST)
+            connection.fail(Reason.CONNECTION_LOST)
 
     def warm(self, count: int) -> None:
         """Open connections ahead of need: opening one takes its time."""
@@ -232,7 +232,7 @@
         """Take back a connection for other statements."""
         self.idle.append(connection)
 
-    def forget(self, connection: SqlConnection) -> None:
+    def remove_connection(self, connection: SqlConnection) -> None:
         """Drop a connection that was closed."""
         self.connections.discard(connection)
         with contextlib.suppress(ValueError):
@@ -244,7 +244,7 @@
         """Roll a transaction back by closing its connection."""
         connection = self.transactions.get(key)
         if connection is not None:
-            connection.lose(Reason.TRANSACTION_LOST)
+            connection.fail(Reason.TRANSACTION_LOST)
 
     def finish(self, execute: messages.Execute, result) -> None:
         """Post a result."""
