--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -11,9 +11,9 @@
 from topazring.platform.tests import soak_upstreams
 from topazring.platform.tests import support
 from topazring.soak import checks
+from topazring.soak import environment
+from topazring.soak import observations
 from topazring.soak import schedules
-from topazring.soak import sightings
-from topazring.soak import stages
 from topazring.standin import faults as link_faults
 from topazring.standin import settings as link_settings
 
@@ -44,9 +44,9 @@
     'loses answers for good': (Mode.PASS, Mode.DROP, 0.0, 'old'),
 }
 _DATABASES = [
-    stages.Database('exact', messages.Freshness.PRIMARY),
-    stages.Database('own', messages.Freshness.SESSION, 2500),
-    stages.Database('old', messages.Freshness.BOUNDED, 1500),
+    environment.Database('exact', messages.Freshness.PRIMARY),
+    environment.Database('own', messages.Freshness.SESSION, 2500),
+    environment.Database('old', messages.Freshness.BOUNDED, 1500),
 ]
 
 
@@ -80,7 +80,7 @@
                 if now_s - self.renewed_s[lease] > ttl_ms / 1000:
                     await self.end_lease(lease)
 
-    def trouble(self, how: str, choice: float, ports: list[int]) -> None:
+    def disturb(self, how: str, choice: float, ports: list[int]) -> None:
         """Inject a fault of the store; `well` ends it."""
         self.failure_code = 503 if how == 'down' else 0
         self.is_unresponsive = how == 'silent'
@@ -124,11 +124,11 @@
         while not received or not received[-1].startswith(ends):
             received.append(await self.lines.get())
             if not received[-1]:
-                raise stages.Ended(str(received))
+                raise environment.SessionEnded(str(received))
         self.is_waiting = False
         return received
 
-    async def say(self, ask: sightings.Ask) -> sightings.Answer:
+    async def execute(self, ask: observations.Ask) -> observations.Answer:
         """Send a statement and return the answer; raise Ended without one."""
         text = f'{ask.verb.upper()} {ask.item} {ask.data}'.rstrip()
         received = await self.send_request(
@@ -137,14 +137,14 @@
         rows = tuple(line[4:] for line in received if line.startswith('ROW '))
         word, _, rest = received[-2].partition(' ')
         if word == 'DONE':
-            return sightings.Answer(sightings.Kind.DONE, rest, rows)
+            return observations.Answer(observations.Kind.DONE, rest, rows)
         code = rest.partition(' ')[0]
-        kind = sightings.Kind.REJECTED
+        kind = observations.Kind.REJECTED
         if code in _NOT_RUN_CODES:
-            kind = sightings.Kind.NOT_RUN
+            kind = observations.Kind.NOT_RUN
         elif code in _UNKNOWN_CODES:
-            kind = sightings.Kind.UNKNOWN
-        return sightings.Answer(kind, rows=rows, detail=rest)
+            kind = observations.Kind.UNKNOWN
+        return observations.Answer(kind, rows=rows, detail=rest)
 
     def close(self) -> None:
         """Close the connection."""
@@ -173,7 +173,7 @@
         self.mend(name)
         await self.links.pop(name).close()
 
-    def trouble(self, name: str, how: str) -> None:
+    def disturb(self, name: str, how: str) -> None:
         """Inject a fault into a link, if it still exists."""
         if name in self.links:
             self.links[name].set_modes(*_LINKS[how])
@@ -254,7 +254,7 @@
         """Return the log files of the proxies."""
         return [proxy.log for proxy in self.instances]
 
-    def final_log(self) -> list[sightings.Entry]:
+    def final_log(self) -> list[observations.Entry]:
         """Return the log of the primary."""
         return self.upstreams.group.primary().log
 
@@ -268,7 +268,7 @@
         if received.startswith('READY'):
             return talk
         talk.close()
-        raise stages.Ended(received)
+        raise environment.SessionEnded(received)
 
     async def _open_session(
         self, instance: support.Proxy, database: str
@@ -286,7 +286,7 @@
         except OSError as error:
             if talk is not None:
                 talk.close()
-            raise stages.Ended('no greeting') from error
+            raise environment.SessionEnded('no greeting') from error
 
     async def _balance(self, proxy: support.Proxy) -> None:
         """Probe a proxy, update the rotation, and restart it after a crash."""
@@ -302,10 +302,10 @@
             elif misses >= MAX_FAILED_PROBES and proxy in self.rotation:
                 self.rotation.remove(proxy)
             code = proxy.process.returncode
-            if code is not None and code not in checks.ORDERLY:
-                now, note = stages.now_ms(), self.oracle.note
-                note(sightings.Exited(now, proxy.name, code))
-                note(sightings.Started(now, proxy.name))
+            if code is not None and code not in checks.ALLOWED_EXIT_CODES:
+                now, note = environment.now_ms(), self.oracle.note
+                note(observations.Exited(now, proxy.name, code))
+                note(observations.Started(now, proxy.name))
                 await proxy.restart()
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -338,7 +338,7 @@
             'limits': {'max-body-bytes': 4096, 'tx-idle-ms': 3000},
         }
         await self.store.put_json('op/config', value)
-        in_force = sightings.InForce(stages.now_ms(), self.version)
+        in_force = observations.InForce(environment.now_ms(), self.version)
         self.oracle.note(in_force)
 
     async def _probe_forever(self) -> None:
@@ -353,35 +353,35 @@
 
     async def _probe(self, proxy: support.Proxy, version: int) -> None:
         """Record whether an instance serves the database of one version."""
-        asked_ms, process = stages.now_ms(), proxy.process
+        asked_ms, process = environment.now_ms(), proxy.process
         try:
             talk, received = await self._open_session(proxy, f'v{version}')
-        except stages.Ended:
+        except environment.SessionEnded:
             return
         talk.close()
         taken = received.startswith('READY')
         answered = taken or received.startswith('ERROR NODB')
         if answered and process is proxy.process:
-            now = stages.now_ms()
+            now = environment.now_ms()
             probed = (now, asked_ms, proxy.name, version, taken)
-            self.oracle.note(sightings.Probed(*probed))
+            self.oracle.note(observations.Probed(*probed))
 
     # ---- faults ----
 
-    async def trouble(
+    async def disturb(
         self, part: str, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
         """Inject a fault into upstreams, store or a link; wait for its end."""
         if part == 'service':
             store_ports = [proxy.store_port for proxy in self.instances]
-            self.store.trouble(how, choice, store_ports)
+            self.store.disturb(how, choice, store_ports)
             await asyncio.sleep(for_ms / 1000)
-            self.store.trouble('well', choice, store_ports)
+            self.store.disturb('well', choice, store_ports)
         elif part == 'links':
             names = sorted(self.links.links)
             name = names[int(choice * len(names))]
-            self.links.trouble(name, how)
+            self.links.disturb(name, how)
             await asyncio.sleep(for_ms / 1000)
             self.links.mend(name)
         else:
-            await self.upstreams.trouble(how, choice, for_ms, gap_ms)
+            await self.upstreams.disturb(how, choice, for_ms, gap_ms)
