--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -129,7 +129,10 @@
         return received
 
     async def execute(self, ask: observations.Ask) -> observations.Answer:
-        """Send a statement and return the answer; raise Ended without one."""
+        """Send a statement and return the answer.
+
+        Raises SessionEnded if the connection ends first.
+        """
         text = f'{ask.verb.upper()} {ask.item} {ask.data}'.rstrip()
         received = await self.send_request(
             f'QUERY {ask.request_id} {text}', 'READY'
@@ -263,29 +266,29 @@
     async def connect(
         self, instance: support.Proxy, database: str
     ) -> SessionClient:
-        """Start a session; raise Ended if it is refused."""
-        talk, received = await self._open_session(instance, database)
+        """Start a session; raise SessionEnded if it is refused."""
+        client, received = await self._open_session(instance, database)
         if received.startswith('READY'):
-            return talk
-        talk.close()
+            return client
+        client.close()
         raise environment.SessionEnded(received)
 
     async def _open_session(
         self, instance: support.Proxy, database: str
     ) -> tuple[SessionClient, str]:
-        talk = None
+        client = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                talk = SessionClient(
+                client = SessionClient(
                     *await asyncio.open_connection(HOST, instance.caller_port)
                 )
-                received = await talk.send_request(
+                received = await client.send_request(
                     f'START {database} me', 'READY', 'ERROR'
                 )
-            return talk, received[0]
+            return client, received[0]
         except OSError as error:
-            if talk is not None:
-                talk.close()
+            if client is not None:
+                client.close()
             raise environment.SessionEnded('no greeting') from error
 
     async def _balance(self, proxy: support.Proxy) -> None:
@@ -355,10 +358,10 @@
         """Record whether an instance serves the database of one version."""
         asked_ms, process = environment.now_ms(), proxy.process
         try:
-            talk, received = await self._open_session(proxy, f'v{version}')
+            client, received = await self._open_session(proxy, f'v{version}')
         except environment.SessionEnded:
             return
-        talk.close()
+        client.close()
         taken = received.startswith('READY')
         answered = taken or received.startswith('ERROR NODB')
         if answered and process is proxy.process:
