--- a/topazring/platform/tests/test_whole_path.py
+++ b/topazring/platform/tests/test_whole_path.py
@@ -235,7 +235,10 @@
         self.assertEqual(0, await stopping)
 
     def test_leaving_upstream(self):
-        """A draining primary is replaced while writes continue to succeed."""
+        """A draining replica gets no new work; a draining primary is replaced.
+
+        Writes continue to succeed meanwhile.
+        """
         self.run_on_platform(self.leaving_upstream)
 
     async def leaving_upstream(self):
