--- a/topazring/proxy/entry.py
+++ b/topazring/proxy/entry.py
@@ -12,7 +12,7 @@
 from topazring.core import requests
 from topazring.core import windows
 from topazring.plumbing import clock
-from topazring.proxy import cluster_state as knowledges
+from topazring.proxy import cluster_state as cluster_states
 from topazring.proxy import hop
 from topazring.proxy import ownership as ownerships
 
@@ -56,11 +56,11 @@
     def __init__(
         self,
         name: str,
-        knowledge: knowledges.ClusterState,
+        cluster_state: cluster_states.ClusterState,
         ownership: ownerships.Ownership,
     ):
         self.name = name
-        self.cluster_state = knowledge
+        self.cluster_state = cluster_state
         self.ownership = ownership
         self.clients: dict[str, hop.HopClient] = {}
         # Limits on the requests in flight, by owner and database.
--- a/topazring/proxy/sessions.py
+++ b/topazring/proxy/sessions.py
@@ -14,7 +14,7 @@
 from topazring.core import tokens
 from topazring.plumbing import clock
 from topazring.plumbing import sockets
-from topazring.proxy import cluster_state as knowledges
+from topazring.proxy import cluster_state as cluster_states
 from topazring.proxy import entry as entries
 from topazring.proxy import frames
 from topazring.proxy import metrics as metric_sets
@@ -57,12 +57,12 @@
     def __init__(
         self,
         config: settings.ProxySettings,
-        knowledge: knowledges.ClusterState,
+        cluster_state: cluster_states.ClusterState,
         entry: entries.Entry,
         metrics: metric_sets.Metrics,
     ):
         self.config = config
-        self.cluster_state = knowledge
+        self.cluster_state = cluster_state
         self.entry = entry
         self.metrics = metrics
         self.sockets: set[SessionSocket] = set()
