--- a/topazring/soak/__init__.py
+++ b/topazring/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Load a fleet and measure what it does."""
+"""Run real processes through faults and check what callers observe."""
--- a/topazring/soak/callers.py
+++ b/topazring/soak/callers.py
@@ -1,4 +1,4 @@
-"""Send reads, writes and transactions, and tell what became of each."""
+"""Callers that send statements and report each answer to the oracle."""
 
 import asyncio
 import contextlib
@@ -13,87 +13,88 @@
 
 Verb = statements.Verb
 ITEM_COUNT = 12
-# Longer than any time limit; an answer that takes longer counts as missing.
+# Longer than any time limit of a request; later answers count as missing.
 ANSWER_TIMEOUT_S = 13.0
 RECONNECT_DELAY_S = 0.1
 PAUSES_S = (0.0, 0.01, 0.03, 0.1)
 LONG_PAUSE_S = 1.2
 
 
-class _Left(Exception):
-    """Say that the caller is done with its session."""
+class _SessionAbandoned(Exception):
+    """Raised when the caller closes its session."""
 
 
 class Caller:
-    """Own one caller that keeps a session open until it ends."""
+    """A caller that opens one session after the other and uses it."""
 
-    def __init__(self, stage: environment.Environment, number: int, schedule):
-        self.stage = stage
+    def __init__(self, env: environment.Environment, number: int, schedule):
+        self.env = env
         self.number = number
         self.rest_scale = schedule.rest_scale
-        # What callers do need not be the same twice; their mix is.
+        # Timing makes operations differ between runs of a seed; their
+        # distribution stays the same.
         self.rng = random.Random(f'{schedule.seed}/{number}')
         self.ids = itertools.count(1)
         self.sessions = itertools.count(1)
         self.task: asyncio.Task | None = None
-        self.leaving = False
+        self.is_stopping = False
         self.instance = None
         self.database: environment.Database | None = None
-        self.talk = None
+        self.connection = None
         self.session = ''
         self.values: dict[str, str] = {}
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start to send statements."""
         self.task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop after the answer that is waited for."""
-        self.leaving = True
+        """Stop once the pending request is answered."""
+        self.is_stopping = True
         await self.task
 
     async def _run(self) -> None:
-        while not self.leaving:
-            if not self.stage.rotation:
+        while not self.is_stopping:
+            if not self.env.rotation:
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            self.instance = self.rng.choice(self.stage.rotation)
-            self.database = self.rng.choice(self.stage.databases)
+            self.instance = self.rng.choice(self.env.rotation)
+            self.database = self.rng.choice(self.env.databases)
             try:
-                self.talk = await self.stage.connect(
+                self.connection = await self.env.connect(
                     self.instance, self.database.name
                 )
             except environment.SessionEnded:
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             await self._use_session()
-            self.talk.close()
+            self.connection.close()
 
     async def _use_session(self) -> None:
         self.session = f'c{self.number}s{next(self.sessions)}'
         self.values = {}
-        with contextlib.suppress(environment.SessionEnded, _Left):
-            while not self.leaving:
-                await self._operation()
-                await self._rest()
+        with contextlib.suppress(environment.SessionEnded, _SessionAbandoned):
+            while not self.is_stopping:
+                await self._run_operation()
+                await self._pause()
 
-    async def _rest(self) -> None:
-        rest_s = self.rng.choice(PAUSES_S) * self.rest_scale
+    async def _pause(self) -> None:
+        pause_s = self.rng.choice(PAUSES_S) * self.rest_scale
         if self.rng.random() < 0.03:
-            rest_s = LONG_PAUSE_S
-        await asyncio.sleep(rest_s)
-
-    async def _operation(self) -> None:
-        how = self.rng.random()
-        if how < 0.02:
-            raise _Left
-        if how < 0.05:
+            pause_s = LONG_PAUSE_S
+        await asyncio.sleep(pause_s)
+
+    async def _run_operation(self) -> None:
+        draw = self.rng.random()
+        if draw < 0.02:
+            raise _SessionAbandoned
+        if draw < 0.05:
             name, value = self.rng.choice('ab'), f'v{next(self.ids)}'
-            answer = await self._say(Verb.SET, name, value)
+            answer = await self._send(Verb.SET, name, value)
             if answer.kind is not observations.Kind.DONE:
-                raise _Left
+                raise _SessionAbandoned
             self.values[name] = value
-        elif how < 0.20:
+        elif draw < 0.20:
             await self._transaction()
         else:
             await self._read_or_write('')
@@ -101,31 +102,31 @@
     async def _read_or_write(self, transaction: str) -> observations.Answer:
         item = f'k{self.rng.randrange(ITEM_COUNT)}'
         if self.rng.random() < 0.6:
-            return await self._say(Verb.READ, item, transaction=transaction)
+            return await self._send(Verb.READ, item, transaction=transaction)
         data = f'd{self.session}x{next(self.ids)}'
-        return await self._say(Verb.WRITE, item, data, transaction)
+        return await self._send(Verb.WRITE, item, data, transaction)
 
     async def _transaction(self) -> None:
         name = f'{self.session}t{next(self.ids)}'
-        begun = await self._say(Verb.BEGIN, transaction=name)
-        if begun.kind is not observations.Kind.DONE:
+        begin_answer = await self._send(Verb.BEGIN, transaction=name)
+        if begin_answer.kind is not observations.Kind.DONE:
             return
         for _ in range(self.rng.randint(1, 4)):
-            said = await self._read_or_write(name)
-            if said.kind is not observations.Kind.DONE:
-                await self._say(Verb.ROLLBACK, transaction=name)
+            answer = await self._read_or_write(name)
+            if answer.kind is not observations.Kind.DONE:
+                await self._send(Verb.ROLLBACK, transaction=name)
                 return
             if self.rng.random() < 0.02:
-                raise _Left
+                raise _SessionAbandoned
             await asyncio.sleep(self.rng.choice(PAUSES_S))
-        ends = Verb.COMMIT if self.rng.random() < 0.85 else Verb.ROLLBACK
-        await self._say(ends, transaction=name)
+        end_verb = Verb.COMMIT if self.rng.random() < 0.85 else Verb.ROLLBACK
+        await self._send(end_verb, transaction=name)
 
-    async def _say(
+    async def _send(
         self, verb: Verb, item: str = '', data: str = '', transaction: str = ''
     ) -> observations.Answer:
-        note = self.stage.oracle.note
-        for text in self.talk.unasked:
+        note = self.env.oracle.note
+        for text in self.connection.unasked:
             unasked = observations.Unasked(
                 environment.now_ms(), self.session, self.instance.name, text
             )
@@ -146,12 +147,12 @@
         )
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                answer = await self.talk.execute(ask)
+                answer = await self.connection.execute(ask)
         except environment.SessionEnded:
             note(observations.Cut(environment.now_ms(), request_id))
             raise
         except TimeoutError:
-            # It stays without an answer, which the oracle finds in the end.
-            raise _Left from None
+            # The request stays unanswered; the oracle reports that at the end.
+            raise _SessionAbandoned from None
         note(observations.Answered(environment.now_ms(), request_id, answer))
         return answer
--- a/topazring/soak/checks.py
+++ b/topazring/soak/checks.py
@@ -1,7 +1,7 @@
-"""Judge what a soak shows by what was promised.
+"""Check what a soak observes against the guarantees of the proxy.
 
-A check looks at one kind of sighting and at all that was seen before it, and
-yields a sentence for each promise that it finds broken.
+A check takes one type of observation and the facts recorded before it, and
+yields a message for each violation.
 """
 
 import collections
@@ -18,23 +18,24 @@
 Facts = soak_facts.Facts
 Kind = observations.Kind
 Verb = observations.Verb
-Found = collections.abc.Iterator[str]
-Check = collections.abc.Callable[[Facts, object], Found]
+Failures = collections.abc.Iterator[str]
+Check = collections.abc.Callable[[Facts, object], Failures]
 
-# Whoever ran undisturbed for so long, and so did the platform's service, is
-# held to the promises that have a time.
+# Checks with a time limit apply to an instance once it and the platform's
+# service have run undisturbed for this long.
 STABILITY_MS = 4000
 DRAIN_MS = 7000
 APPLY_MS = 3000
 VERSION_OVERLAP_MS = 250
-# A request may cross the end of its session on the way.
+# A request may be in flight while the instance ends its session.
 SESSION_END_CROSSING_MS = 200
-# The time of a process that is busy, beside the promises' own.
+# The delay of a busy process, in addition to a time limit.
 SLACK_MS = 300
-# Past the longest time limit of a request, a stop's grace and a freeze.
+# Longer than the longest time limit of a request, the grace period of a stop
+# and a pause of the process.
 ANSWER_LIMIT_MS = 12_000
 
-# Stopped, killed, or told to stop before it could take note.
+# Stopped, killed, or sent SIGTERM before its handler was installed.
 ALLOWED_EXIT_CODES = (0, -signal.SIGKILL, -signal.SIGTERM)
 
 _checks: dict[type, list[Check]] = collections.defaultdict(list)
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """Say which promise was broken, when, and by what request."""
+    """Hold the check that failed, the time, the message and the request."""
 
     at_ms: float
     check: str
@@ -51,7 +52,7 @@
 
 
 def check(kind: type) -> collections.abc.Callable[[Check], Check]:
-    """Register a check of one kind of sighting."""
+    """Register a check of one type of observation."""
 
     def register(function: Check) -> Check:
         _checks[kind].append(function)
@@ -61,68 +62,68 @@
 
 
 def checks_by_name() -> dict[str, Check]:
-    """Return all checks by name."""
+    """Return all checks by function name."""
     return {f.__name__: f for found in _checks.values() for f in found}
 
 
 class Oracle:
-    """Check each sighting, then remember it."""
+    """Run the checks on each observation, then record it."""
 
     def __init__(self):
         self.facts = Facts()
         self.violations: list[Violation] = []
 
-    def note(self, sighting: object) -> None:
-        """Take in one sighting."""
-        for function in _checks[type(sighting)]:
-            for text in function(self.facts, sighting):
+    def note(self, observation: object) -> None:
+        """Check and record one observation."""
+        for function in _checks[type(observation)]:
+            for text in function(self.facts, observation):
                 self.violations.append(
                     Violation(
-                        getattr(sighting, 'at_ms', 0.0),
+                        getattr(observation, 'at_ms', 0.0),
                         function.__name__,
                         text,
-                        _request_of(sighting),
+                        _request_id_of(observation),
                     )
                 )
-        soak_facts.record(self.facts, sighting)
+        soak_facts.record(self.facts, observation)
 
 
-def _request_of(sighting: object) -> str:
-    ask = getattr(sighting, 'ask', None)
+def _request_id_of(observation: object) -> str:
+    ask = getattr(observation, 'ask', None)
     if ask is not None:
         return ask.request_id
-    entry = getattr(sighting, 'entry', None)
+    entry = getattr(observation, 'entry', None)
     if entry is not None:
         return entry.request_id
-    return getattr(sighting, 'request_id', '')
+    return getattr(observation, 'request_id', '')
 
 
-# ---- what runs ----
+# ---- statements at upstreams ----
 
 
 @check(observations.Ran)
-def only_what_was_asked(facts: Facts, ran: observations.Ran) -> Found:
-    """An upstream runs what a caller sent, unchanged."""
+def only_what_was_asked(facts: Facts, ran: observations.Ran) -> Failures:
+    """An upstream runs only statements that a caller sent, unchanged."""
     request = facts.requests.get(ran.ask.request_id)
     if request is None or request.asked.ask != ran.ask:
-        yield f'{ran.upstream} ran {ran.ask}, which nobody sent'
+        yield f'{ran.upstream} ran {ran.ask}, which no caller sent'
 
 
 @check(observations.Ran)
-def session_holds_together(facts: Facts, ran: observations.Ran) -> Found:
-    """A statement runs with its session's values, in its transaction."""
+def session_holds_together(facts: Facts, ran: observations.Ran) -> Failures:
+    """A statement runs with its session's values and in its transaction."""
     request = facts.requests.get(ran.ask.request_id)
     if request is None:
         return
     if request.asked.values != ran.values:
-        yield f'other values: {ran.values}, not {request.asked.values}'
+        yield f'session values {ran.values}, expected {request.asked.values}'
     if bool(request.asked.transaction) != ran.inside:
-        yield 'in or out of a transaction, unlike its caller'
+        yield 'in a transaction at only one of upstream and caller'
 
 
 @check(observations.Committed)
-def at_most_once(facts: Facts, committed: observations.Committed) -> Found:
-    """A write takes effect once."""
+def at_most_once(facts: Facts, committed: observations.Committed) -> Failures:
+    """A write takes effect at most once."""
     entry = committed.entry
     earlier = facts.commits.get(entry.request_id, ())
     if any(soak_facts.contains(facts.leading_log, each) for each in earlier):
@@ -132,34 +133,38 @@
 @check(observations.Committed)
 def not_after_its_refusal(
     facts: Facts, committed: observations.Committed
-) -> Found:
-    """Nothing is kept of what a caller was told did not run."""
+) -> Failures:
+    """A request that was answered as not run is not committed later."""
     if committed.entry.request_id in facts.not_run_ids:
         yield f'{committed.upstream} committed it after its refusal'
 
 
-# ---- what callers are told ----
+# ---- answers to callers ----
 
 
 @check(observations.Answered)
-def one_final_answer(facts: Facts, answered: observations.Answered) -> Found:
-    """A request has one final answer."""
+def one_final_answer(
+    facts: Facts, answered: observations.Answered
+) -> Failures:
+    """A request gets at most one final answer."""
     request = facts.requests.get(answered.request_id)
     if request is None:
-        yield 'an answer to nothing'
+        yield 'an answer without a request'
     elif request.is_finished:
         yield 'a second answer'
 
 
 @check(observations.Unasked)
-def nothing_unasked(facts: Facts, unasked: observations.Unasked) -> Found:
-    """Nobody is told anything without asking."""
-    yield f'{unasked.instance} said {unasked.text!r} to {unasked.session}'
+def nothing_unasked(facts: Facts, unasked: observations.Unasked) -> Failures:
+    """A caller receives nothing while it has no request pending."""
+    yield f'{unasked.instance} sent {unasked.text!r} to {unasked.session}'
 
 
 @check(observations.Answered)
-def answer_is_its_own(facts: Facts, answered: observations.Answered) -> Found:
-    """A success bears the upstream's signature and its rows."""
+def answer_is_its_own(
+    facts: Facts, answered: observations.Answered
+) -> Failures:
+    """A successful answer has the signature and rows of one of its runs."""
     request = facts.requests.get(answered.request_id)
     answer = answered.answer
     if request is None or answer.kind is not Kind.DONE:
@@ -168,14 +173,14 @@
         return
     run = request.runs.get(answer.signature)
     if run is None:
-        yield f'the signature {answer.signature!r} is none of its runs'
+        yield f'the signature {answer.signature!r} is of none of its runs'
     elif run[0] != answer.rows:
-        yield f'rows {answer.rows}, where its run had {run[0]}'
+        yield f'rows {answer.rows}, but its run returned {run[0]}'
 
 
 @check(observations.Answered)
-def fresh_enough(facts: Facts, answered: observations.Answered) -> Found:
-    """A read sees its session's work, and is not too old."""
+def fresh_enough(facts: Facts, answered: observations.Answered) -> Failures:
+    """A read is as fresh as its database requires."""
     request = facts.requests.get(answered.request_id)
     answer = answered.answer
     if request is None or answer.kind is not Kind.DONE:
@@ -183,49 +188,49 @@
     run = request.runs.get(answer.signature)
     if request.asked.ask.verb is Verb.READ and run is not None and not run[1]:
         kind = request.asked.freshness
-        lacks = request.must_see
-        if not soak_facts.contains(facts.leading_log, lacks):
-            # A promotion has cut it off, which is told as such.
+        must_see = request.must_see
+        if not soak_facts.contains(facts.leading_log, must_see):
+            # A promotion discarded the entry, which is reported separately.
             return
         what = 'bounded' if kind is messages.Freshness.BOUNDED else kind
         yield (
-            f'a stale read ({what}): lacks {lacks.term}.{lacks.position} '
-            f'of {lacks.request_id}'
+            f'a stale read ({what}): lacks '
+            f'{must_see.term}.{must_see.position} of {must_see.request_id}'
         )
 
 
 @check(observations.Answered)
-def refusals_hold(facts: Facts, answered: observations.Answered) -> Found:
-    """What was refused as not run is not kept already."""
+def refusals_hold(facts: Facts, answered: observations.Answered) -> Failures:
+    """A request that is answered as not run was not committed before."""
     if answered.answer.kind is not Kind.NOT_RUN:
         return
     for entry in facts.commits.get(answered.request_id, ()):
         if soak_facts.contains(facts.leading_log, entry):
-            yield f'refused ({answered.answer.detail}), yet it is kept'
+            yield f'refused ({answered.answer.detail}), but committed'
 
 
-# ---- what is kept ----
+# ---- durability ----
 
 
 @check(observations.Answered)
 def acknowledged_by_its_leader(
     facts: Facts, answered: observations.Answered
-) -> Found:
-    """What is acknowledged is in the log of whoever leads by then."""
+) -> Failures:
+    """An acknowledged write is in the log of the current primary."""
     entries = facts.commits.get(answered.request_id)
     if answered.answer.kind is not Kind.DONE or not entries:
         return
     entry = entries[-1]
     if not soak_facts.contains(facts.leading_log, entry):
         yield (
-            f'acknowledged at {entry.term}.{entry.position}, which '
-            f'{facts.leader} lacks that leads'
+            f'acknowledged at {entry.term}.{entry.position}, which the '
+            f'primary {facts.leader} lacks'
         )
 
 
 @check(observations.Led)
-def survives_a_promotion(facts: Facts, led: observations.Led) -> Found:
-    """Whoever is promoted holds all that was acknowledged."""
+def survives_a_promotion(facts: Facts, led: observations.Led) -> Failures:
+    """A promoted upstream has all acknowledged writes."""
     lost = [
         f'{entry.term}.{entry.position} {request_id}'
         for request_id, entry in facts.acked.items()
@@ -234,73 +239,76 @@
     if lost:
         yield (
             f'{led.upstream} leads term {led.term} without {len(lost)} '
-            f'acknowledged: {", ".join(lost[:6])}'
+            f'acknowledged writes: {", ".join(lost[:6])}'
         )
 
 
 @check(observations.Ordered)
-def one_holder(facts: Facts, ordered: observations.Ordered) -> Found:
-    """Only one holder of the duty uses a token."""
+def one_holder(facts: Facts, ordered: observations.Ordered) -> Failures:
+    """Each token is used by one holder of the promotion lease only."""
     holder = facts.token_holders.get(ordered.token, ordered.holder)
     if holder != ordered.holder:
         yield f'{ordered.holder} and {holder} both used {ordered.token}'
 
 
-# ---- what has a time ----
+# ---- time limits ----
 
 
 @check(observations.Ran)
-def no_work_after_drain(facts: Facts, ran: observations.Ran) -> Found:
-    """One that drains gets no new work once its time is over."""
+def no_work_after_drain(facts: Facts, ran: observations.Ran) -> Failures:
+    """A draining upstream gets no new work after its drain time."""
     leaving_ms = facts.drain_start_ms.get(ran.upstream)
     request = facts.requests.get(ran.ask.request_id)
     if leaving_ms is None or request is None or request.asked.transaction:
         return
     late_ms = ran.at_ms - leaving_ms - DRAIN_MS
-    # Acknowledged in calm, and calm since the request was taken.
-    calm = facts.is_undisturbed(
+    # Nothing disturbed the start of the drain, nor the request since shortly
+    # before it was sent.
+    is_undisturbed = facts.is_undisturbed(
         leaving_ms - STABILITY_MS, leaving_ms, planned=False
     ) and facts.is_undisturbed(
         request.asked.at_ms - STABILITY_MS, ran.at_ms, planned=False
     )
-    if late_ms > 0 and calm:
-        yield f'{ran.upstream} got work {late_ms:.0f} ms after its drain'
+    if late_ms > 0 and is_undisturbed:
+        yield f'{ran.upstream} got work {late_ms:.0f} ms after its drain time'
 
 
 @check(observations.Probed)
-def configuration_in_force(facts: Facts, probed: observations.Probed) -> Found:
-    """A version is in force in time, and what it dropped is gone."""
+def configuration_in_force(
+    facts: Facts, probed: observations.Probed
+) -> Failures:
+    """A new version is in force in time, and what it drops is refused."""
     if not facts.versions:
         return
-    now = facts.versions[-1]
-    if probed.asked_ms - now.at_ms <= APPLY_MS:
+    newest = facts.versions[-1]
+    if probed.asked_ms - newest.at_ms <= APPLY_MS:
         return
-    places = (probed.instance, 'service', 'links')
+    targets = (probed.instance, 'service', 'links')
     since_ms = probed.asked_ms - STABILITY_MS
-    if not facts.is_undisturbed(since_ms, probed.at_ms, *places):
+    if not facts.is_undisturbed(since_ms, probed.at_ms, *targets):
         return
-    if probed.taken != (probed.version == now.version):
+    if probed.taken != (probed.version == newest.version):
         yield (
             f'{probed.instance} with version {probed.version}: '
-            f'{"taken" if probed.taken else "refused"}, '
-            f'{probed.asked_ms - now.at_ms:.0f} ms after {now.version}'
+            f'{"accepted" if probed.taken else "refused"}, '
+            f'{probed.asked_ms - newest.at_ms:.0f} ms after {newest.version}'
         )
 
 
 @check(observations.Probed)
 def configuration_never_back(
     facts: Facts, probed: observations.Probed
-) -> Found:
-    """One process never goes back behind a version that it showed."""
+) -> Failures:
+    """A process never returns to an older version than it has served."""
     version, shown_ms = facts.shown_versions.get(probed.instance, (0, 0.0))
     late = probed.asked_ms > shown_ms + VERSION_OVERLAP_MS
     if probed.taken and probed.version < version and late:
-        yield f'{probed.instance} is back at {probed.version} from {version}'
+        yield f'{probed.instance} returned to {probed.version} from {version}'
 
 
 @check(observations.Cut)
-def planned_work_cuts_nothing(facts: Facts, cut: observations.Cut) -> Found:
-    """No request is cut around planned work alone."""
+def planned_work_cuts_nothing(facts: Facts, cut: observations.Cut) -> Failures:
+    """Planned work alone does not cut a request off from its answer."""
     request = facts.requests[cut.request_id]
     asked_ms = request.asked.at_ms
     if cut.at_ms - asked_ms < SESSION_END_CROSSING_MS and not request.runs:
@@ -310,57 +318,57 @@
     if not facts.is_undisturbed(since_ms, cut.at_ms, planned=False):
         return
     if facts.is_undisturbed(asked_ms, cut.at_ms, instance):
-        yield f'{instance} ended a session without an answer, in calm'
+        yield f'{instance} ended a session without an answer, undisturbed'
     else:
-        yield f'{instance} cut it while planned work went on'
+        yield f'{instance} ended a session without an answer in planned work'
 
 
 @check(observations.Exited)
-def no_end_by_itself(facts: Facts, exited: observations.Exited) -> Found:
-    """A process ends only when it is told or killed."""
+def no_end_by_itself(facts: Facts, exited: observations.Exited) -> Failures:
+    """A process exits only when it is stopped or killed."""
     if exited.code not in ALLOWED_EXIT_CODES:
-        yield f'{exited.instance} ended by itself with {exited.code}'
+        yield f'{exited.instance} exited by itself with {exited.code}'
 
 
-# ---- the end ----
+# ---- end of the soak ----
 
 
 @check(observations.Finished)
-def all_is_answered(facts: Facts, finished: observations.Finished) -> Found:
-    """Every request has come to an end."""
-    left = [
+def all_is_answered(facts: Facts, finished: observations.Finished) -> Failures:
+    """Every request was answered, or its session was cut."""
+    unanswered = [
         f'{request_id} ({request.asked.ask.verb}) at '
-        f'{request.asked.instance}, asked '
+        f'{request.asked.instance}, sent '
         f'{finished.at_ms - request.asked.at_ms:.0f} ms before the end'
         for request_id, request in facts.requests.items()
         if not request.is_finished
         and finished.at_ms - request.asked.at_ms > ANSWER_LIMIT_MS
     ]
-    if left:
-        yield f'never answered: {", ".join(left[:6])}'
+    if unanswered:
+        yield f'never answered: {", ".join(unanswered[:6])}'
 
 
 @check(observations.Finished)
-def serves_again(facts: Facts, finished: observations.Finished) -> Found:
-    """Writes succeed once all trouble is over."""
+def serves_again(facts: Facts, finished: observations.Finished) -> Failures:
+    """Writes succeed after all disturbances have ended."""
     if not finished.serves:
-        yield 'no write succeeds though all trouble is over'
+        yield 'no write succeeds after all disturbances have ended'
 
 
 @check(observations.Finished)
-def all_is_kept(facts: Facts, finished: observations.Finished) -> Found:
-    """The last log has what was acknowledged, once, and no refused write."""
+def all_is_kept(facts: Facts, finished: observations.Finished) -> Failures:
+    """The last log has each acknowledged write once and no refused one."""
     lost = [
         request_id
         for request_id, entry in facts.acked.items()
         if not soak_facts.contains(finished.log, entry)
     ]
     if lost:
-        yield f'{len(lost)} acknowledged are lost: {", ".join(lost[:6])}'
-    kept = collections.Counter(entry.request_id for entry in finished.log)
-    refused = [each for each in kept if each in facts.not_run_ids]
+        yield f'{len(lost)} acknowledged writes lost: {", ".join(lost[:6])}'
+    stored = collections.Counter(entry.request_id for entry in finished.log)
+    refused = [each for each in stored if each in facts.not_run_ids]
     if refused:
-        yield f'kept though refused: {", ".join(refused[:6])}'
-    twice = [each for each, count in kept.items() if each and count > 1]
-    if twice:
-        yield f'took effect twice: {", ".join(twice[:6])}'
+        yield f'committed though refused: {", ".join(refused[:6])}'
+    duplicated = [each for each, count in stored.items() if each and count > 1]
+    if duplicated:
+        yield f'took effect twice: {", ".join(duplicated[:6])}'
--- a/topazring/soak/environment.py
+++ b/topazring/soak/environment.py
@@ -1,4 +1,4 @@
-"""Say what a soak needs of the world that it runs in."""
+"""Define the environment that a soak runs in."""
 
 import dataclasses
 import time
@@ -12,17 +12,17 @@
 
 
 def now_ms() -> float:
-    """Return the steady clock."""
+    """Return the monotonic clock, in milliseconds."""
     return time.monotonic() * 1000
 
 
 class SessionEnded(ConnectionError):
-    """Say that a session ended, or did not start."""
+    """Raised when a session has ended or could not be opened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Database:
-    """Hold a name that callers use, and what its reads have to see."""
+    """Hold a database name and the freshness that its reads require."""
 
     name: str
     freshness: messages.Freshness
@@ -30,40 +30,41 @@
 
 
 class Environment(typing.Protocol):
-    """Own the processes, upstreams, service and links of a soak.
+    """Own the processes, upstreams, platform service and links of a soak.
 
     An instance has a `name`, a `process`, and `restart`, which starts it
-    unless it runs. A session has `say`, which returns an answer or raises
-    Ended, `unasked`, which holds what it was told meanwhile, and `close`.
+    unless it runs. A session has `execute`, which returns an answer or raises
+    SessionEnded, `unasked`, which holds the lines received while no request
+    was pending, and `close`.
     """
 
     oracle: checks.Oracle
     instances: list
-    # What takes new callers now.
+    # The instances that the load balancer sends new callers to.
     rotation: list
     databases: list[Database]
-    # How long a process may take to stop.
+    # The time that a process has to stop after SIGTERM.
     grace_s: float
 
     async def start(self) -> None:
         """Start everything."""
 
     async def close(self) -> None:
-        """End everything that was started, and nothing else."""
+        """Stop everything that `start` started, and nothing else."""
 
     async def connect(self, instance, database: str):
-        """Return a session; raise Ended if it is refused."""
+        """Open and return a session; raise SessionEnded if it is refused."""
 
     async def configure(self) -> None:
-        """Have the operator write the next version."""
+        """Write the next version of the configuration, as an operator does."""
 
     def rewrite_settings(self, instance) -> None:
-        """Write an instance's settings anew."""
+        """Rewrite the settings file of an instance."""
 
     async def disturb(
         self, part: str, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
-        """Trouble upstreams, the service or a link, until that is over."""
+        """Inject a fault into upstreams, service or a link; await its end."""
 
     def final_log(self) -> list[observations.Entry]:
-        """Return the log that leads."""
+        """Return the log of the current primary."""
--- a/topazring/soak/facts.py
+++ b/topazring/soak/facts.py
@@ -1,4 +1,4 @@
-"""Keep what a soak has shown so far."""
+"""Record what a soak has observed so far."""
 
 import bisect
 import dataclasses
@@ -11,11 +11,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """Hold a statement, what it has to see, and what became of it."""
+    """Hold a statement, the entry it must see, its runs and its result."""
 
     asked: observations.Asked
     must_see: observations.Entry | None = None
-    # Of each signature: its rows, and whether its log had what it must.
+    # By signature: the rows of the run, and whether the log that it ran on
+    # contained `must_see`.
     runs: dict[str, tuple[tuple[str, ...], bool]] = dataclasses.field(
         default_factory=dict
     )
@@ -24,20 +25,20 @@
 
     @property
     def is_finished(self) -> bool:
-        """Say whether the caller waits for nothing more."""
+        """Return whether the request was answered or its session was cut."""
         return self.answer is not None or self.cut_ms > 0
 
 
 @dataclasses.dataclass(slots=True)
 class Facts:
-    """Hold everything that checks look at."""
+    """Hold the state that checks read."""
 
     requests: dict[str, Request] = dataclasses.field(default_factory=dict)
-    # Commits by the request that asked for them.
+    # Log entries by the id of the request that wrote them.
     commits: dict[str, list[observations.Entry]] = dataclasses.field(
         default_factory=dict
     )
-    # Times of acknowledgements, and the furthest entry up to each.
+    # Times of acknowledgements, and the furthest entry acknowledged by each.
     acked_ms: list[float] = dataclasses.field(default_factory=list)
     furthest_acked: list[observations.Entry] = dataclasses.field(
         default_factory=list
@@ -45,28 +46,28 @@
     acked: dict[str, observations.Entry] = dataclasses.field(
         default_factory=dict
     )
-    # The furthest entry that each session's own work made.
+    # By session: the furthest acknowledged entry that it wrote itself.
     last_own_entry: dict[str, observations.Entry] = dataclasses.field(
         default_factory=dict
     )
-    # What transactions have to see.
+    # By transaction: the entry that all its statements must see.
     transaction_must_see: dict[str, observations.Entry | None] = (
         dataclasses.field(default_factory=dict)
     )
-    # Requests whose callers were told that nothing is kept.
+    # Requests that were answered as not run, so that nothing may be stored.
     not_run_ids: set[str] = dataclasses.field(default_factory=set)
-    # The one that leads the newest term, and its log, which grows.
+    # The primary of the newest term, and its log, which grows in place.
     leader: str = ''
     leading_log: list[observations.Entry] = dataclasses.field(
         default_factory=list
     )
-    # Who used each token, and the highest by now.
+    # By token: the first holder that used it.
     token_holders: dict[int, str] = dataclasses.field(default_factory=dict)
     drain_start_ms: dict[str, float] = dataclasses.field(default_factory=dict)
     versions: list[observations.InForce] = dataclasses.field(
         default_factory=list
     )
-    # The newest version that each instance showed, and when.
+    # By instance: the newest version that it served, and when.
     shown_versions: dict[str, tuple[int, float]] = dataclasses.field(
         default_factory=dict
     )
@@ -76,73 +77,76 @@
     counts: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def is_undisturbed(
-        self, from_ms: float, to_ms: float, *places: str, planned: bool = True
+        self, from_ms: float, to_ms: float, *targets: str, planned: bool = True
     ) -> bool:
-        """Say whether no trouble touched some places, all if none is named.
+        """Return whether no disturbance of some targets overlaps an interval.
 
-        Planned work is no trouble if `planned` is false.
+        Without targets, all of them count. Planned work is ignored if
+        `planned` is false.
         """
         return not any(
-            trouble.at_ms <= to_ms
-            and trouble.to_ms >= from_ms
-            and (planned or not trouble.planned)
-            and (not places or trouble.where in places)
-            for trouble in self.disturbances
+            disturbance.at_ms <= to_ms
+            and disturbance.to_ms >= from_ms
+            and (planned or not disturbance.planned)
+            and (not targets or disturbance.where in targets)
+            for disturbance in self.disturbances
         )
 
 
 def contains(log: list[observations.Entry], entry: observations.Entry) -> bool:
-    """Say whether a log has an entry."""
-    at = entry.position - 1
-    return at < len(log) and log[at] is entry
+    """Return whether a log contains an entry."""
+    index = entry.position - 1
+    return index < len(log) and log[index] is entry
 
 
-def record(facts: Facts, sighting: object) -> None:
-    """Take in a sighting, after it was checked."""
-    name = type(sighting).__name__.lower()
+def record(facts: Facts, observation: object) -> None:
+    """Update the facts with an observation; the checks run before this."""
+    name = type(observation).__name__.lower()
     facts.counts[name] = facts.counts.get(name, 0) + 1
-    match sighting:
+    match observation:
         case observations.Asked():
-            _take_asked(facts, sighting)
+            _record_request(facts, observation)
         case observations.Ran():
-            _take_run(facts, sighting)
+            _record_run(facts, observation)
         case observations.Committed():
-            entry = sighting.entry
+            entry = observation.entry
             facts.commits.setdefault(entry.request_id, []).append(entry)
         case observations.Answered():
-            _take_answer(facts, sighting)
+            _record_answer(facts, observation)
         case observations.Cut():
-            facts.requests[sighting.request_id].cut_ms = sighting.at_ms
+            facts.requests[observation.request_id].cut_ms = observation.at_ms
         case observations.Ordered():
-            facts.token_holders.setdefault(sighting.token, sighting.holder)
+            facts.token_holders.setdefault(
+                observation.token, observation.holder
+            )
         case observations.Led():
-            _take_leader(facts, sighting)
+            _record_leader(facts, observation)
         case observations.Leaves():
-            facts.drain_start_ms[sighting.upstream] = sighting.at_ms
+            facts.drain_start_ms[observation.upstream] = observation.at_ms
         case observations.InForce():
-            facts.versions.append(sighting)
-        case observations.Probed() if sighting.taken:
-            shown, _ = facts.shown_versions.get(sighting.instance, (0, 0.0))
-            if sighting.version > shown:
-                new = (sighting.version, sighting.at_ms)
-                facts.shown_versions[sighting.instance] = new
+            facts.versions.append(observation)
+        case observations.Probed() if observation.taken:
+            shown, _ = facts.shown_versions.get(observation.instance, (0, 0.0))
+            if observation.version > shown:
+                new = (observation.version, observation.at_ms)
+                facts.shown_versions[observation.instance] = new
         case observations.Started():
-            facts.shown_versions.pop(sighting.instance, None)
+            facts.shown_versions.pop(observation.instance, None)
         case observations.Disturbed():
-            facts.disturbances.append(sighting)
+            facts.disturbances.append(observation)
 
 
-def _take_asked(facts: Facts, asked: observations.Asked) -> None:
-    must_see = _must_see(facts, asked)
+def _record_request(facts: Facts, asked: observations.Asked) -> None:
+    must_see = _find_must_see(facts, asked)
     if asked.transaction:
-        # It has to see what its beginning had to.
+        # Its statements must see what its BEGIN had to see.
         must_see = facts.transaction_must_see.setdefault(
             asked.transaction, must_see
         )
     facts.requests[asked.ask.request_id] = Request(asked, must_see)
 
 
-def _must_see(
+def _find_must_see(
     facts: Facts, asked: observations.Asked
 ) -> observations.Entry | None:
     before_ms = asked.at_ms
@@ -153,10 +157,10 @@
     own = None
     if asked.freshness is messages.Freshness.SESSION:
         own = facts.last_own_entry.get(asked.session)
-    return _further(found, own)
+    return _max_entry(found, own)
 
 
-def _further(
+def _max_entry(
     one: observations.Entry | None, other: observations.Entry | None
 ) -> observations.Entry | None:
     if one is None or other is None:
@@ -164,18 +168,18 @@
     return max(one, other, key=lambda entry: entry.position)
 
 
-def _take_run(facts: Facts, ran: observations.Ran) -> None:
+def _record_run(facts: Facts, ran: observations.Ran) -> None:
     request = facts.requests.get(ran.ask.request_id)
     if request is None:
         return
-    seen = request.must_see
-    fresh = seen is None or (
-        seen.position <= ran.applied and contains(ran.log, seen)
+    must_see = request.must_see
+    is_fresh = must_see is None or (
+        must_see.position <= ran.applied and contains(ran.log, must_see)
     )
-    request.runs[ran.signature] = (ran.rows, fresh)
+    request.runs[ran.signature] = (ran.rows, is_fresh)
 
 
-def _take_answer(facts: Facts, answered: observations.Answered) -> None:
+def _record_answer(facts: Facts, answered: observations.Answered) -> None:
     request = facts.requests.get(answered.request_id)
     if request is None:
         return
@@ -194,15 +198,18 @@
     facts.acked[answered.request_id] = entry
     upto = facts.furthest_acked[-1] if facts.furthest_acked else None
     facts.acked_ms.append(answered.at_ms)
-    facts.furthest_acked.append(_further(upto, entry))
+    facts.furthest_acked.append(_max_entry(upto, entry))
     session = request.asked.session
-    facts.last_own_entry[session] = _further(
+    facts.last_own_entry[session] = _max_entry(
         facts.last_own_entry.get(session), entry
     )
 
 
-def _take_leader(facts: Facts, led: observations.Led) -> None:
-    """Take in a new leader; what it lacks is no more, and was told once."""
+def _record_leader(facts: Facts, led: observations.Led) -> None:
+    """Record a new primary, and forget acknowledged entries that it lacks.
+
+    A check has reported their loss already; it is reported only once.
+    """
     facts.leader = led.upstream
     facts.leading_log = led.log
     if all(contains(led.log, entry) for entry in facts.acked.values()):
--- a/topazring/soak/faults.py
+++ b/topazring/soak/faults.py
@@ -1,8 +1,8 @@
-"""Name the faults of a soak, and cause them.
+"""Define the faults of a soak, and inject them.
 
-A fault is a function of the stage and of its step; it returns once the fault
-is over. It tells the oracle what it troubles, for promises hold with a time
-only where nothing else went on.
+A fault is a function of the environment and of a step of the schedule; it
+returns once the fault is over. It reports to the oracle what it disturbs:
+checks with a time limit apply only to what was not disturbed meanwhile.
 """
 
 import asyncio
@@ -18,24 +18,24 @@
 
 __all__ = ['Fault', 'Step', 'inject', 'families', 'faults_by_name']
 
-# A process that was told to stop is ended past its grace and this.
+# A process that still runs this long after its grace period is killed.
 KILL_DELAY_S = 1.0
-# One that starts takes about so long.
+# The approximate time that a process takes to start.
 START_DURATION_MS = 1500
-# What troubles have done is over a moment after them.
+# The effects of a fault may last this long after its end.
 AFTEREFFECT_MS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """Hold one fault of a schedule."""
+    """Hold one fault of a schedule and its parameters."""
 
     at_ms: int
     fault: str
-    # Chooses among what there is at that moment, from 0 to 1.
+    # From 0 to 1: selects among the targets that exist at that moment.
     choice: float
     for_ms: int
-    # Between the parts of a fault in series.
+    # The pause between the steps of a fault that has several.
     gap_ms: int
 
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Hold a kind of fault and how often it is drawn within its family."""
+    """Hold a kind of fault and the weight that it is drawn with."""
 
     name: str
     family: str
@@ -56,8 +56,8 @@
 
 
 _faults: dict[str, Fault] = {}
-# The processes that were told to stop.
-_told: weakref.WeakSet = weakref.WeakSet()
+# The processes that were sent SIGTERM.
+_stopping_processes: weakref.WeakSet = weakref.WeakSet()
 
 
 def fault(
@@ -79,83 +79,81 @@
 
 
 def families() -> list[str]:
-    """Return the families in their order."""
+    """Return the families in order of registration."""
     return list(dict.fromkeys(f.family for f in _faults.values()))
 
 
-async def inject(stage: environment.Environment, step: Step) -> None:
-    """Cause a fault and wait for its end."""
-    await _faults[step.fault].cause(stage, step)
+async def inject(env: environment.Environment, step: Step) -> None:
+    """Inject a fault and wait for its end."""
+    await _faults[step.fault].inject(env, step)
 
 
-def _pick(stage: environment.Environment, choice: float) -> Instance:
-    found = stage.instances
+def _choose_instance(env: environment.Environment, choice: float) -> Instance:
+    found = env.instances
     return found[int(choice * len(found)) % len(found)]
 
 
-def _trouble(
-    stage: environment.Environment,
+def _note_disturbance(
+    env: environment.Environment,
     where: str,
     for_ms: float,
     planned: bool = False,
 ) -> None:
     now = environment.now_ms()
-    stage.oracle.note(
-        observations.Disturbed(now, now + for_ms, where, planned)
-    )
+    env.oracle.note(observations.Disturbed(now, now + for_ms, where, planned))
 
 
-def _runs(instance: Instance) -> bool:
+def _is_running(instance: Instance) -> bool:
     process = instance.process
     return process is not None and process.returncode is None
 
 
 def _signal(instance: Instance, number: signal.Signals) -> None:
-    """Signal the instance's own process, if it still runs."""
-    if _runs(instance):
+    """Send a signal to the process of an instance, if it still runs."""
+    if _is_running(instance):
         instance.process.send_signal(number)
 
 
-def _tell_to_stop(instance: Instance) -> None:
-    _told.add(instance.process)
+def _terminate(instance: Instance) -> None:
+    _stopping_processes.add(instance.process)
     _signal(instance, signal.SIGTERM)
 
 
-async def _restart(stage: environment.Environment, instance: Instance) -> None:
-    if not _runs(instance):
+async def _restart(env: environment.Environment, instance: Instance) -> None:
+    if not _is_running(instance):
         started = observations.Started(environment.now_ms(), instance.name)
-        stage.oracle.note(started)
+        env.oracle.note(started)
         await instance.restart()
 
 
 async def _stop(
-    stage: environment.Environment, instance: Instance, pause_ms: float
+    env: environment.Environment, instance: Instance, pause_ms: float
 ) -> None:
-    """Stop an instance in its grace, then start it again."""
+    """Stop an instance, kill it after its grace period, and restart it."""
     process = instance.process
-    # Told twice, a process ends at once, which no platform asks for.
-    if not _runs(instance) or process in _told:
+    # A second SIGTERM ends a process at once; no platform sends one.
+    if not _is_running(instance) or process in _stopping_processes:
         return
-    grace_ms = (stage.grace_s + KILL_DELAY_S) * 1000
-    _trouble(stage, instance.name, grace_ms, planned=True)
-    _tell_to_stop(instance)
+    grace_ms = (env.grace_s + KILL_DELAY_S) * 1000
+    _note_disturbance(env, instance.name, grace_ms, planned=True)
+    _terminate(instance)
     try:
-        async with asyncio.timeout(stage.grace_s + KILL_DELAY_S):
+        async with asyncio.timeout(env.grace_s + KILL_DELAY_S):
             await process.wait()
     except TimeoutError:
         if instance.process is process:
-            _trouble(stage, instance.name, START_DURATION_MS)
+            _note_disturbance(env, instance.name, START_DURATION_MS)
             _signal(instance, signal.SIGKILL)
             await process.wait()
     await asyncio.sleep(pause_ms / 1000)
-    _trouble(stage, instance.name, START_DURATION_MS, planned=True)
-    await _restart(stage, instance)
+    _note_disturbance(env, instance.name, START_DURATION_MS, planned=True)
+    await _restart(env, instance)
 
 
 async def _freeze(
-    stage: environment.Environment, instance: Instance, for_ms: float
+    env: environment.Environment, instance: Instance, for_ms: float
 ) -> None:
-    _trouble(stage, instance.name, for_ms + 200)
+    _note_disturbance(env, instance.name, for_ms + 200)
     process = instance.process
     _signal(instance, signal.SIGSTOP)
     await asyncio.sleep(for_ms / 1000)
@@ -164,50 +162,50 @@
 
 
 async def _kill(
-    stage: environment.Environment, instance: Instance, for_ms: float
+    env: environment.Environment, instance: Instance, for_ms: float
 ) -> None:
-    _trouble(stage, instance.name, for_ms + START_DURATION_MS)
-    if _runs(instance):
+    _note_disturbance(env, instance.name, for_ms + START_DURATION_MS)
+    if _is_running(instance):
         _signal(instance, signal.SIGKILL)
         await instance.process.wait()
     await asyncio.sleep(for_ms / 1000)
-    await _restart(stage, instance)
+    await _restart(env, instance)
 
 
 # ---- planned work ----
 
 
 @fault('planned')
-async def stop(stage: environment.Environment, step: Step) -> None:
-    """Stop one instance and start it again."""
-    await _stop(stage, _pick(stage, step.choice), step.gap_ms)
+async def stop(env: environment.Environment, step: Step) -> None:
+    """Stop one instance and restart it."""
+    await _stop(env, _choose_instance(env, step.choice), step.gap_ms)
 
 
 @fault('planned', weight=1)
-async def roll(stage: environment.Environment, step: Step) -> None:
-    """Stop all instances, one after the other or overlapping."""
+async def roll(env: environment.Environment, step: Step) -> None:
+    """Restart all instances, one after the other or overlapping."""
     stopping = []
-    for instance in stage.instances:
-        stopping.append(asyncio.create_task(_stop(stage, instance, 0)))
+    for instance in env.instances:
+        stopping.append(asyncio.create_task(_stop(env, instance, 0)))
         await asyncio.sleep(step.for_ms / 1000)
     await asyncio.gather(*stopping)
 
 
 @fault('planned')
-async def reload(stage: environment.Environment, step: Step) -> None:
-    """Change settings and tell the instance, twice in a row at times."""
-    instance = _pick(stage, step.choice)
+async def reload(env: environment.Environment, step: Step) -> None:
+    """Rewrite the settings and send SIGHUP, at times twice in a row."""
+    instance = _choose_instance(env, step.choice)
     for _ in range(1 + int(step.choice * 10) % 2):
-        stage.rewrite_settings(instance)
+        env.rewrite_settings(instance)
         _signal(instance, signal.SIGHUP)
         await asyncio.sleep(step.gap_ms / 1000)
 
 
 @fault('planned', weight=3)
-async def configure(stage: environment.Environment, step: Step) -> None:
-    """Have the operator write a version, or several in a row."""
+async def configure(env: environment.Environment, step: Step) -> None:
+    """Write a version of the configuration, or several in a row."""
     for _ in range(1 + int(step.choice * 10) % 3):
-        await stage.configure()
+        await env.configure()
         await asyncio.sleep(step.gap_ms / 1000)
 
 
@@ -215,55 +213,53 @@
 
 
 @fault('signals')
-async def freeze(stage: environment.Environment, step: Step) -> None:
-    """Stop an instance without ending it, then let it go on."""
-    await _freeze(stage, _pick(stage, step.choice), step.for_ms)
+async def freeze(env: environment.Environment, step: Step) -> None:
+    """Pause the process of an instance with SIGSTOP, then continue it."""
+    await _freeze(env, _choose_instance(env, step.choice), step.for_ms)
 
 
 @fault('signals')
-async def kill(stage: environment.Environment, step: Step) -> None:
-    """Kill an instance and start it again."""
-    await _kill(stage, _pick(stage, step.choice), step.gap_ms)
+async def kill(env: environment.Environment, step: Step) -> None:
+    """Kill an instance and restart it."""
+    await _kill(env, _choose_instance(env, step.choice), step.gap_ms)
 
 
 @fault('signals', weight=1)
-async def kill_all(stage: environment.Environment, step: Step) -> None:
-    """Kill all instances at once."""
+async def kill_all(env: environment.Environment, step: Step) -> None:
+    """Kill all instances at once and restart them."""
     await asyncio.gather(
-        *(_kill(stage, each, step.gap_ms) for each in stage.instances)
+        *(_kill(env, each, step.gap_ms) for each in env.instances)
     )
 
 
 @fault('signals', weight=1)
-async def kill_in_its_grace(
-    stage: environment.Environment, step: Step
-) -> None:
-    """Tell an instance to stop, and kill it before it has."""
-    instance = _pick(stage, step.choice)
-    _tell_to_stop(instance)
-    _trouble(stage, instance.name, step.gap_ms + START_DURATION_MS)
+async def kill_in_its_grace(env: environment.Environment, step: Step) -> None:
+    """Kill an instance during the grace period of its stop."""
+    instance = _choose_instance(env, step.choice)
+    _terminate(instance)
+    _note_disturbance(env, instance.name, step.gap_ms + START_DURATION_MS)
     await asyncio.sleep(step.gap_ms / 1000)
-    await _kill(stage, instance, 100)
+    await _kill(env, instance, 100)
 
 
 @fault('signals', weight=1)
 async def freeze_in_its_grace(
-    stage: environment.Environment, step: Step
+    env: environment.Environment, step: Step
 ) -> None:
-    """Tell an instance to stop while it is frozen, and to reload."""
-    instance = _pick(stage, step.choice)
-    freezing = asyncio.create_task(_freeze(stage, instance, step.for_ms))
+    """Have an instance reload and stop while its process is paused."""
+    instance = _choose_instance(env, step.choice)
+    freezing = asyncio.create_task(_freeze(env, instance, step.for_ms))
     await asyncio.sleep(0.05)
     _signal(instance, signal.SIGHUP)
-    await asyncio.gather(freezing, _stop(stage, instance, step.gap_ms))
+    await asyncio.gather(freezing, _stop(env, instance, step.gap_ms))
 
 
 @fault('signals', weight=1)
-async def freeze_in_turn(stage: environment.Environment, step: Step) -> None:
-    """Freeze all instances, each before the last one goes on."""
+async def freeze_in_turn(env: environment.Environment, step: Step) -> None:
+    """Pause all instances in turn; each overlaps the one before."""
     freezing = []
-    for instance in stage.instances:
-        one = _freeze(stage, instance, step.for_ms)
+    for instance in env.instances:
+        one = _freeze(env, instance, step.for_ms)
         freezing.append(asyncio.create_task(one))
         await asyncio.sleep(step.for_ms / 2000)
     await asyncio.gather(*freezing)
@@ -271,8 +267,8 @@
 
 # ---- upstreams, the platform's service, links ----
 
-# By family: how often each is drawn. The stage says what is troubled.
-_AROUND = {
+# By family: the weight of each fault. The environment selects the target.
+_ENVIRONMENT_FAULTS = {
     'releases': {'release': 3, 'release in turn': 2, 'release beside deaf': 2},
     'upstreams': {
         'crash': 3,
@@ -300,16 +296,18 @@
 }
 
 
-async def _around(
-    family: str, how: str, stage: environment.Environment, step: Step
+async def _disturb_environment(
+    family: str, how: str, env: environment.Environment, step: Step
 ) -> None:
     if family != 'releases' or how == 'release beside deaf':
-        _trouble(stage, family, step.for_ms + step.gap_ms + AFTEREFFECT_MS)
+        _note_disturbance(
+            env, family, step.for_ms + step.gap_ms + AFTEREFFECT_MS
+        )
     choice, for_ms, gap_ms = step.choice, step.for_ms, step.gap_ms
-    await stage.disturb(family, how, choice, for_ms, gap_ms)
+    await env.disturb(family, how, choice, for_ms, gap_ms)
 
 
-for _family, _hows in _AROUND.items():
-    for _how, _weight in _hows.items():
-        _cause = functools.partial(_around, _family, _how)
-        _faults[_how] = Fault(_how, _family, _weight, _cause)
+for _family, _weights in _ENVIRONMENT_FAULTS.items():
+    for _name, _weight in _weights.items():
+        _cause = functools.partial(_disturb_environment, _family, _name)
+        _faults[_name] = Fault(_name, _family, _weight, _cause)
--- a/topazring/soak/observations.py
+++ b/topazring/soak/observations.py
@@ -1,7 +1,7 @@
-"""Describe what callers, upstreams and orders show of a soak.
+"""Types of what a soak observes at callers, upstreams and the platform.
 
-Times are milliseconds of one steady clock: everything that is looked at
-passes through the process that runs the soak.
+Times are milliseconds of one monotonic clock: all observations are made in
+the process that runs the soak.
 """
 
 import enum
@@ -18,29 +18,29 @@
 
 
 class Kind(enum.StrEnum):
-    """Name what an answer promises."""
+    """What an answer guarantees about its request."""
 
     DONE = 'done'
-    # Nothing of the attempt is kept.
+    # The request had no effect.
     NOT_RUN = 'not run'
-    # Nothing is promised.
+    # The request may or may not have taken effect.
     UNKNOWN = 'unknown'
-    # The statement itself was wrong, or there is no such database.
+    # The statement was invalid, or the database does not exist.
     REJECTED = 'rejected'
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Hold one final answer."""
+    """Hold the final answer to a request."""
 
     kind: Kind
     signature: str = ''
     rows: tuple[str, ...] = ()
-    # The code and text of an answer without success.
+    # The error code and text, unless the request succeeded.
     detail: str = ''
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """Hold a statement as its caller sends it."""
+    """Hold a statement as sent by its caller."""
 
     request_id: str
     verb: Verb
@@ -49,7 +49,11 @@
 
 
 class Entry(msgspec.Struct, eq=False):
-    """Hold one commit in logs; logs that share it hold this very object."""
+    """Hold one log entry of a commit.
+
+    Entries are compared by identity: logs that share an entry hold the same
+    object.
+    """
 
     term: int
     position: int
@@ -59,32 +63,32 @@
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """Report something that was seen at a moment."""
+    """Base class: something observed at a point in time."""
 
     at_ms: float
 
 
 class Asked(Observation):
-    """Report that a caller sends a statement."""
+    """A caller sends a statement."""
 
     ask: Ask
     session: str
     instance: str
     freshness: Freshness = Freshness.PRIMARY
     max_staleness_ms: int = 0
-    # Names the caller's transaction, empty outside one.
+    # The name of the caller's transaction; empty outside a transaction.
     transaction: str = ''
     values: tuple[tuple[str, str], ...] = ()
 
 
 class Ran(Observation):
-    """Report that an upstream ran a statement."""
+    """An upstream has run a statement."""
 
     upstream: str
     ask: Ask
     signature: str
     rows: tuple[str, ...]
-    # What the upstream has applied of its log, and that log.
+    # The upstream's log, and how many of its entries it has applied.
     log: list[Entry]
     applied: int
     inside: bool = False
@@ -92,27 +96,27 @@
 
 
 class Committed(Observation):
-    """Report that a primary added a commit to its log."""
+    """A primary has appended a commit to its log."""
 
     upstream: str
     entry: Entry
 
 
 class Answered(Observation):
-    """Report a final answer as its caller got it."""
+    """A caller has received a final answer."""
 
     request_id: str
     answer: Answer
 
 
 class Cut(Observation):
-    """Report that a connection ended without an answer."""
+    """A connection has ended before the answer to a request."""
 
     request_id: str
 
 
 class Unasked(Observation):
-    """Report that a caller was told something while it had asked nothing."""
+    """A caller has received a line while it had no request pending."""
 
     session: str
     instance: str
@@ -120,7 +124,7 @@
 
 
 class Ordered(Observation):
-    """Report an order to promote."""
+    """An upstream has been ordered to become primary."""
 
     upstream: str
     holder: str
@@ -128,7 +132,7 @@
 
 
 class Led(Observation):
-    """Report that an upstream begins to lead with what it has received."""
+    """An upstream becomes primary with the log that it has received."""
 
     upstream: str
     term: int
@@ -136,19 +140,22 @@
 
 
 class Leaves(Observation):
-    """Report that the platform's service accepted that an upstream drains."""
+    """The platform's service has recorded that an upstream drains."""
 
     upstream: str
 
 
 class InForce(Observation):
-    """Report that the platform's service accepted a configuration."""
+    """The platform's service has accepted a configuration."""
 
     version: int
 
 
 class Probed(Observation):
-    """Report whether an instance takes a session on a version's database."""
+    """An instance has accepted or refused a session on a version's database.
+
+    Each version of the configuration has a database of its own.
+    """
 
     asked_ms: float
     instance: str
@@ -157,31 +164,33 @@
 
 
 class Started(Observation):
-    """Report that an instance's process starts."""
+    """The process of an instance starts."""
 
     instance: str
 
 
 class Exited(Observation):
-    """Report that an instance's process has ended."""
+    """The process of an instance has exited."""
 
     instance: str
     code: int
 
 
 class Disturbed(Observation):
-    """Report trouble from now to some time."""
+    """A disturbance lasts from now to `to_ms`."""
 
     to_ms: float
-    # An instance, `service` for the platform's service, or an upstream.
+    # The name of an instance or upstream, or `service` for the platform's
+    # service.
     where: str
-    # Announced work: a stop in grace, a reload, a release, a configuration.
+    # Whether this is announced work: a stop within its grace period, a
+    # reload, a release or a configuration change.
     planned: bool = False
 
 
 class Finished(Observation):
-    """Report the log that leads in the end."""
+    """The soak has ended; `log` is the log of the last primary."""
 
     log: list[Entry]
-    # Whether a write succeeded once all trouble was over.
+    # Whether a write succeeded after all disturbances had ended.
     serves: bool = True
--- a/topazring/soak/report.py
+++ b/topazring/soak/report.py
@@ -1,4 +1,4 @@
-"""Print what a soak showed."""
+"""Render the result of a soak as text."""
 
 import pathlib
 
@@ -11,17 +11,23 @@
 
 
 def render(outcome: soaks.Outcome, logs: list[pathlib.Path]) -> str:
-    """Return a soak's outcome as text; each failure says how to trace it."""
+    """Return a soak's outcome as text.
+
+    Each violation of a request comes with the command that traces it.
+    """
     schedule = outcome.schedule
     counts = outcome.counts
     promotions = max(0, counts.get('led', 0) - 1)
-    kept = [name for name in counts if ' ' in name]
+    outcome_names = [name for name in counts if ' ' in name]
     lines = [
         f'seed {schedule.seed}: {len(outcome.violations)} violations, '
         f'{len(schedule.steps)} faults of {", ".join(schedule.families)}; '
         f'{promotions} promotions of {schedule.promote_ms} ms, '
-        f'{schedule.callers} callers, rests times {schedule.rest_scale:g}',
-        '  ' + ', '.join(f'{name} {counts[name]}' for name in sorted(kept)),
+        f'{schedule.callers} callers, pauses times {schedule.rest_scale:g}',
+        '  '
+        + ', '.join(
+            f'{name} {counts[name]}' for name in sorted(outcome_names)
+        ),
     ]
     lines += [f'  not caused: {text}' for text in outcome.failed]
     for violation in outcome.violations[:MAX_SHOWN]:
--- a/topazring/soak/schedules.py
+++ b/topazring/soak/schedules.py
@@ -7,13 +7,13 @@
 
 __all__ = ['Schedule', 'draw']
 
-# Nothing happens at first, and at the end there is time to recover.
+# There are no faults at first, and at the end there is time to recover.
 FIRST_FAULT_MS = 1500
 FINAL_QUIET_MS = 6000
 DURATIONS_MS = (150, 400, 900, 1600, 2500, 4000)
 GAPS_MS = (20, 100, 300, 700, 1200)
 MEAN_INTERVALS_MS = (400, 800, 1500, 3000)
-# Promotions take some hundred ms, on some days up to a second.
+# Promotions usually take a few hundred ms, at times up to a second.
 PROMOTION_DURATIONS_MS = (120, 300, 1000)
 CALLER_COUNTS = (3, 8, 16)
 REST_SCALES = (1.0, 1.0, 5.0, 20.0)
@@ -21,13 +21,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """Hold all that a seed decides."""
+    """Hold everything that is derived from a seed."""
 
     seed: int
     seconds: float
     families: tuple[str, ...]
     promote_ms: int
-    # Few and slow callers leave each instance with old knowledge.
+    # With few or slow callers, the state that each instance has recorded
+    # of upstreams gets old.
     callers: int
     rest_scale: float
     steps: tuple[faults.Step, ...]
@@ -36,16 +37,16 @@
 def draw(
     seed: int, seconds: float, families: tuple[str, ...] = ()
 ) -> Schedule:
-    """Return the schedule of a seed, the same each time.
+    """Return the schedule of a seed; it depends on the arguments only.
 
-    Without families, these are drawn as well.
+    Without families, these are drawn from the seed as well.
 
     >>> draw(7, 20) == draw(7, 20)
     True
     """
     rng = random.Random(seed)
-    every = faults.families()
-    drawn = rng.sample(every, rng.randint(1, len(every)))
+    all_families = faults.families()
+    drawn = rng.sample(all_families, rng.randint(1, len(all_families)))
     chosen = tuple(sorted(families or drawn))
     known = [f for f in faults.faults_by_name().values() if f.family in chosen]
     weights = [f.weight for f in known]
--- a/topazring/soak/soaks.py
+++ b/topazring/soak/soaks.py
@@ -1,4 +1,4 @@
-"""Run one schedule of faults, and sum up what was seen."""
+"""Run one schedule of faults and collect the violations."""
 
 import asyncio
 import collections.abc
@@ -14,84 +14,87 @@
 __all__ = ['Outcome', 'run_schedule']
 
 STABILIZATION_S = (checks.STABILITY_MS + faults.AFTEREFFECT_MS + 500) / 1000
-# Once all trouble is over, writes succeed within that time.
+# Writes must succeed within this time after all disturbances have ended.
 RECOVERY_S = 12.0
 POLL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """Hold what one soak showed."""
+    """Hold the result of a soak."""
 
     schedule: schedules.Schedule
     violations: list[checks.Violation]
-    # Times count from here.
+    # The start of the schedule; its times are relative to this.
     began_ms: float
     counts: dict[str, int]
-    # Faults that could not be caused, by name.
+    # Faults that raised an exception: name and error of each.
     failed: list[str]
 
 
 async def run_schedule(
-    stage: environment.Environment,
+    env: environment.Environment,
     schedule: schedules.Schedule,
-    tell: collections.abc.Callable[[str], None] = lambda text: None,
+    report_progress: collections.abc.Callable[[str], None] = lambda text: None,
 ) -> Outcome:
-    """Run a schedule; whatever was started is ended, also on interruption."""
+    """Run a schedule and return its outcome.
+
+    Everything that was started is stopped, also on cancellation.
+    """
     failed: list[str] = []
-    background: set[asyncio.Task] = set()
+    injections: set[asyncio.Task] = set()
     try:
-        await stage.start()
+        await env.start()
         began_ms = environment.now_ms()
-        calling = [
-            callers.Caller(stage, number, schedule)
+        all_callers = [
+            callers.Caller(env, number, schedule)
             for number in range(schedule.callers)
         ]
-        for caller in calling:
+        for caller in all_callers:
             caller.start()
         for step in schedule.steps:
-            await _until(began_ms + step.at_ms)
-            tell(f'{step.at_ms / 1000:6.1f} s {step.fault}')
-            causing = asyncio.create_task(_cause(stage, step, failed))
-            background.add(causing)
-        if background:
-            await asyncio.wait(background)
-            # Promises that hold with a time hold again by then.
+            await _sleep_until(began_ms + step.at_ms)
+            report_progress(f'{step.at_ms / 1000:6.1f} s {step.fault}')
+            injection = asyncio.create_task(_inject(env, step, failed))
+            injections.add(injection)
+        if injections:
+            await asyncio.wait(injections)
+            # Afterwards the checks with a time limit apply again.
             await asyncio.sleep(STABILIZATION_S)
-        await _until(began_ms + schedule.seconds * 1000)
-        serves = await _recovers(stage)
-        await asyncio.gather(*(caller.close() for caller in calling))
+        await _sleep_until(began_ms + schedule.seconds * 1000)
+        serves = await _wait_for_recovery(env)
+        await asyncio.gather(*(caller.close() for caller in all_callers))
         finished = observations.Finished(
-            environment.now_ms(), stage.final_log(), serves
+            environment.now_ms(), env.final_log(), serves
         )
-        stage.oracle.note(finished)
+        env.oracle.note(finished)
     finally:
-        for task in background:
+        for task in injections:
             task.cancel()
-        await stage.close()
-    oracle = stage.oracle
+        await env.close()
+    oracle = env.oracle
     return Outcome(
         schedule, oracle.violations, began_ms, oracle.facts.counts, failed
     )
 
 
-async def _until(at_ms: float) -> None:
+async def _sleep_until(at_ms: float) -> None:
     await asyncio.sleep(max(0.0, (at_ms - environment.now_ms()) / 1000))
 
 
-async def _cause(
-    stage: environment.Environment, step: faults.Step, failed: list[str]
+async def _inject(
+    env: environment.Environment, step: faults.Step, failed: list[str]
 ) -> None:
     try:
-        await faults.inject(stage, step)
+        await faults.inject(env, step)
     except Exception as error:
-        # One fault that fails must not hide what the others show.
+        # A fault that cannot be injected must not end the soak.
         failed.append(f'{step.fault}: {error!r}')
 
 
-async def _recovers(stage: environment.Environment) -> bool:
-    """Wait for a commit that is acknowledged from now on."""
-    facts = stage.oracle.facts
+async def _wait_for_recovery(env: environment.Environment) -> bool:
+    """Wait for a new acknowledged commit; return whether one was seen."""
+    facts = env.oracle.facts
     before, until_ms = (
         set(facts.acked),
         environment.now_ms() + RECOVERY_S * 1000,
--- a/topazring/soak/tests/test_oracle.py
+++ b/topazring/soak/tests/test_oracle.py
@@ -1,4 +1,4 @@
-"""Each check fails on what breaks its promise, and only on that."""
+"""Each check fails on a violation of its guarantee, and only then."""
 
 import testtools
 
@@ -12,8 +12,8 @@
 Verb = statements.Verb
 
 
-class Story:
-    """Tell an oracle what happens, step by step; `u1` leads at first."""
+class Trace:
+    """Report the steps of a trace to an oracle; `u1` leads at first."""
 
     def __init__(self):
         self.oracle = checks.Oracle()
@@ -21,8 +21,8 @@
         self.log: list[observations.Entry] = []
         self.note(observations.Led, 'u1', 1, self.log)
 
-    def tell(self, text: str) -> list[str]:
-        """Tell a line; return the names of the checks that fail."""
+    def play(self, text: str) -> list[str]:
+        """Run the steps of a line; return the names of the failed checks."""
         for step in text.split('; '):
             name, *words = step.split(' ')
             fields = [_value(word) for word in words if '=' not in word]
@@ -32,7 +32,7 @@
         return [each.check for each in self.oracle.violations]
 
     def note(self, kind, *fields, **more) -> None:
-        """Note a sighting at a new moment."""
+        """Report an observation one ms after the last."""
         self.now_ms += 1
         self.oracle.note(kind(self.now_ms, *fields, **more))
 
@@ -40,7 +40,7 @@
         self.now_ms += for_ms
 
     def lead(self, upstream, term):
-        """Lead with nothing."""
+        """Have an upstream lead with an empty log."""
         self.note(observations.Led, upstream, term, [])
 
     def order(self, upstream, holder):
@@ -64,7 +64,7 @@
         self.log.append(entry)
 
     def find(self, request_id):
-        """Have a commit in the log that nobody saw happen."""
+        """Add a commit to the log without an observation of it."""
         entry = observations.Entry(1, len(self.log) + 1, request_id)
         self.log.append(entry)
 
@@ -77,14 +77,14 @@
         self.answer(request_id, Kind.NOT_RUN)
 
     def write(self, request_id):
-        """Have a write asked for, run, committed and acknowledged."""
+        """Have a write sent, run, committed and acknowledged."""
         self.ask(request_id)
         self.run(request_id)
         self.commit(request_id)
         self.answer(request_id)
 
     def read(self, request_id, applied, **more):
-        """Read at a log that ends early."""
+        """Read at an upstream that has applied only part of the log."""
         self.ask(request_id, Verb.READ, **more)
         inside = 'transaction' in more
         self.run(request_id, Verb.READ, applied=applied, inside=inside)
@@ -101,7 +101,7 @@
         self.note(observations.Disturbed, until_ms, where, planned)
 
     def drain(self):
-        """Have `u1` drain, and its time be over."""
+        """Have `u1` drain until its drain time is over."""
         self.note(observations.Leaves, 'u1')
         self.wait(checks.DRAIN_MS)
 
@@ -128,8 +128,8 @@
     return WORDS.get(word, word)
 
 
-# A story is a line of steps; each is a method of `Story` and its words. A word
-# is a number, a name below, or text; `key=word` is passed by its name.
+# A trace is a line of steps; each is a method of `Trace` and its arguments. An
+# argument is a number, a name below, or text; `key=value` is a keyword.
 WORDS = {
     'READ': Verb.READ,
     'BEGIN': Verb.BEGIN,
@@ -142,8 +142,8 @@
     'session': Freshness.SESSION,
     'bounded': Freshness.BOUNDED,
 }
-# Each breaks one promise, once.
-BROKEN = [
+# Each trace makes the named check fail, once.
+VIOLATING = [
     ('only_what_was_asked', 'run q9'),
     ('only_what_was_asked', 'ask q1; run q1 data=other'),
     ('session_holds_together', 'ask q1 values=values; run q1'),
@@ -161,7 +161,7 @@
     ('fresh_enough', 'write q1; read q2 0'),
     ('fresh_enough', 'write q1; read q2 0 freshness=session age=2000'),
     ('fresh_enough', 'write q1; wait 2000; read q2 0 freshness=bounded'),
-    # A loss is told once, also to those who would read what is lost.
+    # A loss is reported once; reads that lack the lost entry are not stale.
     (
         'survives_a_promotion',
         'write q1; ask q2 READ; lead u2 2; run q2 READ applied=0; answer q2',
@@ -187,39 +187,39 @@
     ('planned_work_cuts_nothing', 'trouble p1 yes; ask q1; wait 300; cut q1'),
     ('no_end_by_itself', 'exit 70'),
 ]
-# None breaks any.
-KEPT = [
+# No check fails on these.
+VALID = [
     'write q1; read q2 1; ask q3; run q3; refuse q3; finish',
-    # What a promotion cut off may be committed anew.
+    # An entry that a promotion discarded may be committed again.
     'ask q1; commit q1; lead u2 2; commit q1',
     'drain; trouble p2; ask q1; run q1',
     'write q1; read q2 0 freshness=bounded',
-    # A transaction has to see what its beginning had to.
+    # A transaction has to see what its BEGIN had to see.
     'ask q1 BEGIN transaction=t; write q2; read q3 0 transaction=t',
     'configure 4; wait 2900; probe 4 no',
     'configure 4; wait 2900; trouble service; wait 500; probe 4 no',
     'configure 4; probe 4 yes; probe 3 yes',
-    # Another process may begin with what it is told first.
+    # A restarted process may serve an older version first.
     'configure 4; probe 4 yes; begin; wait 300; probe 3 yes',
     'trouble p1; ask q1; run q1; cut q1',
-    # It crossed the end of its session.
+    # The request was in flight when the instance ended its session.
     'trouble p1 yes; ask q1; cut q1',
     'exit 0; exit -9; exit -15',
 ]
 
 
 class OracleTest(testtools.TestCase):
-    """Stories that break a promise, and some that break none."""
+    """Traces that violate a guarantee, and some that violate none."""
 
-    def test_broken(self):
-        for check, text in BROKEN:
-            self.assertEqual([check], Story().tell(text), text)
+    def test_violating_traces(self):
+        for check, text in VIOLATING:
+            self.assertEqual([check], Trace().play(text), text)
 
-    def test_kept(self):
-        for text in KEPT:
-            self.assertEqual([], Story().tell(text), text)
+    def test_valid_traces(self):
+        for text in VALID:
+            self.assertEqual([], Trace().play(text), text)
 
-    def test_every_check_is_shown_to_fail(self):
+    def test_every_check_fails_on_a_trace(self):
         self.assertEqual(
-            set(checks.checks_by_name()), {name for name, _ in BROKEN}
+            set(checks.checks_by_name()), {name for name, _ in VIOLATING}
         )
--- a/topazring/soak/tests/test_schedules.py
+++ b/topazring/soak/tests/test_schedules.py
@@ -1,4 +1,4 @@
-"""A seed says the same each time, and all faults are drawn."""
+"""A seed always draws the same schedule; all faults are drawn."""
 
 import testtools
 
@@ -11,7 +11,7 @@
 class SchedulesTest(testtools.TestCase):
     """Schedules of many seeds."""
 
-    def test_same_each_time(self):
+    def test_same_seed_same_schedule(self):
         for seed in SEEDS:
             self.assertEqual(
                 schedules.draw(seed, 20), schedules.draw(seed, 20)
@@ -25,7 +25,7 @@
         }
         self.assertEqual(set(faults.faults_by_name()), drawn)
 
-    def test_ends_quietly(self):
+    def test_no_faults_at_the_end(self):
         for seed in SEEDS:
             for step in schedules.draw(seed, 20).steps:
                 self.assertLess(step.at_ms, 20_000 - schedules.FINAL_QUIET_MS)
--- a/topazring/soak/tests/test_soak.py
+++ b/topazring/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Run a soak of real processes, and interrupt one."""
+"""Run a soak of real processes to its end, and interrupt another."""
 
 import asyncio
 import os
@@ -17,17 +17,18 @@
 from topazring.soak import soaks
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
-# Upstreams that crash, go silent and are cut off, and a service in trouble.
+# Upstreams that crash, stop responding or are isolated, and faults of the
+# platform's service.
 SEED = 1
 SECONDS = 14.0
 FAMILIES = ('service', 'upstreams')
 PROXIES = 3
-STARTS_S = 30.0
-ENDS_S = 20.0
+START_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 20.0
 
 
 class SoakTest(testtools.TestCase):
-    """A short soak finds no broken promise."""
+    """A short soak finds no violation."""
 
     def test_seed(self):
         schedule = schedules.draw(SEED, SECONDS, FAMILIES)
@@ -37,14 +38,14 @@
             text = report.render(outcome, stage.logs())
             self.assertEqual([], outcome.violations, text)
             self.assertEqual([], outcome.failed, text)
-        # Otherwise the soak would have looked at nothing.
+        # Otherwise the checks would have had nothing to check.
         for what in ('write done', 'commit done', 'read done'):
             self.assertGreater(outcome.counts.get(what, 0), 10, text)
         self.assertGreater(outcome.counts['led'], 1, text)
 
 
 class InterruptionTest(testtools.TestCase):
-    """Whatever a soak started ends with it."""
+    """An interrupted soak leaves none of its processes running."""
 
     def test_terminated(self):
         self.interrupt(signal.SIGTERM)
@@ -53,7 +54,7 @@
         self.interrupt(signal.SIGINT)
 
     def interrupt(self, number: signal.Signals) -> None:
-        """Interrupt a soak once its proxies run; look for them after it."""
+        """Interrupt a soak once its proxies run; check that they exit."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         words = ['soak', '--seed', '1', '--seconds', '60', '--quiet']
@@ -65,19 +66,19 @@
             stderr=subprocess.DEVNULL,
         )
         self.addCleanup(soak.kill)
-        until_s = time.monotonic() + STARTS_S
+        until_s = time.monotonic() + START_TIMEOUT_S
         found: list[int] = []
         while len(found) < PROXIES and time.monotonic() < until_s:
             time.sleep(0.1)
             found = children(soak.pid)
         self.assertEqual(PROXIES, len(found))
         soak.send_signal(number)
-        soak.wait(ENDS_S)
+        soak.wait(EXIT_TIMEOUT_S)
         left = [pid for pid in found if pathlib.Path(f'/proc/{pid}').exists()]
         self.assertEqual([], left)
 
 
 def children(pid: int) -> list[int]:
-    """Return the processes that a process started and that live."""
+    """Return the ids of the running child processes of a process."""
     path = pathlib.Path(f'/proc/{pid}/task/{pid}/children')
     return [int(each) for each in path.read_text().split()]
