--- a/topazring/admin/__init__.py
+++ b/topazring/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Let operators configure the fleet and see what it does."""
+"""Command line for operators: configure and inspect the fleet."""
--- a/topazring/admin/changes.py
+++ b/topazring/admin/changes.py
@@ -1,4 +1,4 @@
-"""Change one configured value, and find out what came of it."""
+"""Change a configured value, and determine the outcome of the change."""
 
 import asyncio
 import dataclasses
@@ -29,21 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """Report that the change is in force from `revision` on."""
+    """The change is in force from `revision` on."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unchanged:
-    """Report that the value was so already."""
+    """The value in force, since `revision`, was equal already."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Report that another operator was first, with both versions."""
+    """Another operator changed the value first; hold both values."""
 
     current: object
     requested: object
@@ -52,21 +52,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoResponse:
-    """Report that the service did not say whether the change took effect."""
+    """The service did not respond; the outcome of a change is unknown."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unconfirmed:
-    """Name the proxies that do not confirm the revision in time."""
+    """Some proxies did not confirm the revision in time; hold their names."""
 
     proxies: list[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """Hold a value as the service has it."""
+    """Hold a value as stored in the service."""
 
     value: dict | None
     revision: int | None
@@ -74,23 +74,23 @@
 
 
 def make_key(kind: str, name: str) -> str:
-    """Return the key under which a configured thing is kept."""
+    """Return the key under which a value is stored."""
     return f'{catalogue.PREFIX}{kind}/{name}'
 
 
 async def read_value(
     platform: platform_client.PlatformClient, kind: str, name: str
 ) -> Stored | NoResponse:
-    """Read what the service has."""
-    found = await platform.get(make_key(kind, name))
-    match found:
+    """Return the stored value, or NoResponse if the service is unavailable."""
+    response = await platform.get(make_key(kind, name))
+    match response:
         case key_value.Missing():
             return Stored(None, None, '')
         case key_value.Unavailable(detail=detail):
             return NoResponse(detail)
-    value = json.loads(found.value)
+    value = json.loads(response.value)
     change_id = value.pop(_CHANGE_ID, '')
-    return Stored(value, found.revision, change_id)
+    return Stored(value, response.revision, change_id)
 
 
 async def change_value(
@@ -102,9 +102,10 @@
 ) -> Accepted | Unchanged | Conflict | NoResponse:
     """Set a value by compare-and-swap against the revision `expected`.
 
-    The answer to a swap can be lost after it took effect. The change's own
-    id in the value tells: if it is there on reading back, the change is in
-    force; trying again blindly would report a race with oneself.
+    The answer to a swap can be lost after the swap took effect. The value
+    therefore includes an id of the change: if a read returns that id, the
+    change is in force. A retry without this read would report a conflict
+    with the change itself.
     """
     change_id = uuid.uuid4().hex
     text = json.dumps({**value, _CHANGE_ID: change_id})
@@ -130,21 +131,23 @@
 async def wait_everywhere(
     fetch, proxies: list[dict], revision: int, timeout_s: float
 ) -> Unconfirmed | None:
-    """Wait until every proxy has the revision; name those that do not.
+    """Wait until all proxies have a revision; return those that do not.
 
-    `fetch(proxy)` returns a proxy's status, or None if it cannot be reached.
+    `fetch(proxy)` returns the status of a proxy, or None if unreachable.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + timeout_s
-    missing = {proxy['name']: proxy for proxy in proxies}
+    deadline_s = loop.time() + timeout_s
+    unconfirmed = {proxy['name']: proxy for proxy in proxies}
     while True:
-        names = list(missing)
-        found = await asyncio.gather(*(fetch(missing[n]) for n in names))
-        for name, status in zip(names, found, strict=True):
+        names = list(unconfirmed)
+        statuses = await asyncio.gather(
+            *(fetch(unconfirmed[n]) for n in names)
+        )
+        for name, status in zip(names, statuses, strict=True):
             if status and status['seen']['configuration'] >= revision:
-                del missing[name]
-        if not missing:
+                del unconfirmed[name]
+        if not unconfirmed:
             return None
-        if loop.time() >= until:
-            return Unconfirmed(sorted(missing))
+        if loop.time() >= deadline_s:
+            return Unconfirmed(sorted(unconfirmed))
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/topazring/admin/exits.py
+++ b/topazring/admin/exits.py
@@ -1,4 +1,4 @@
-"""End a command with one line and an exit code."""
+"""Exit codes, and exiting with an error message."""
 
 import sys
 import typing
@@ -18,6 +18,6 @@
 
 
 def fail(code: int, text: str) -> typing.NoReturn:
-    """End with one line and an exit code."""
+    """Print one line to standard error and exit."""
     print(f'topazring-admin: {text}', file=sys.stderr)
     sys.exit(code)
--- a/topazring/admin/main.py
+++ b/topazring/admin/main.py
@@ -1,4 +1,4 @@
-"""Configure and inspect: `topazring-admin`."""
+"""Configure and inspect the fleet: `topazring-admin`."""
 
 import asyncio
 import dataclasses
@@ -49,8 +49,8 @@
     return platform_client.PlatformClient(host, int(port), 'admin')
 
 
-def _checked(kind: str, text: str) -> dict:
-    """Return the value in full, or end with the first fault."""
+def _parse_value(kind: str, text: str) -> dict:
+    """Return the value with its defaults, or exit with the first error."""
     if kind not in catalogue.kinds():
         kinds = ', '.join(catalogue.kinds())
         exits.fail(
@@ -69,7 +69,7 @@
         exits.fail(exits.EXIT_BAD_INPUT, f'{kind}: {error}')
 
 
-def _read(
+def _read_stored(
     platform: platform_client.PlatformClient, kind: str, name: str
 ) -> changes.Stored:
     stored = asyncio.run(changes.read_value(platform, kind, name))
@@ -80,14 +80,14 @@
     return stored
 
 
-def _show(value: object) -> str:
+def _format_json(value: object) -> str:
     return json.dumps(value, indent=2, sort_keys=True)
 
 
 @cappa.command(name='get', help='Show a configured value.')
 @dataclasses.dataclass
 class Get:
-    """Show a value."""
+    """Print a configured value."""
 
     kind: KindArg
     name: NameArg
@@ -95,13 +95,13 @@
 
     def __call__(self) -> None:
         """Print the value with its revision."""
-        stored = _read(_client(self.platform), self.kind, self.name)
+        stored = _read_stored(_client(self.platform), self.kind, self.name)
         if stored.value is None:
             exits.fail(
                 exits.EXIT_REFUSED, f'{self.kind} {self.name}: not configured'
             )
         print(f'// revision {stored.revision}')
-        print(_show(stored.value))
+        print(_format_json(stored.value))
 
 
 @cappa.command(name='set', help='Set a value; see --expect for races.')
@@ -128,8 +128,8 @@
     ] = 5.0
 
     def __call__(self) -> None:
-        """Set, and say which revision is in force."""
-        value = _checked(self.kind, self.value)
+        """Set the value and print the revision that is in force."""
+        value = _parse_value(self.kind, self.value)
         asyncio.run(self._set(value))
 
     async def _set(self, value: dict) -> None:
@@ -152,16 +152,16 @@
             case changes.Unchanged(revision=revision):
                 print(f'unchanged since revision {revision}')
             case changes.Conflict():
-                print('another operator was first; yours is not in force')
-                print(f'theirs, revision {result.revision}:')
-                print(_show(result.current))
+                print('another operator was first; your value is not in force')
+                print(f'in force, revision {result.revision}:')
+                print(_format_json(result.current))
                 print('yours:')
-                print(_show(result.requested))
+                print(_format_json(result.requested))
                 sys.exit(exits.EXIT_CONFLICT)
             case changes.NoResponse(detail=detail):
                 exits.fail(
                     exits.EXIT_UNREACHABLE,
-                    f'whether it is in force is not known: {detail}',
+                    f'unknown whether the value is in force: {detail}',
                 )
         if self.wait:
             await self._wait(platform, revision)
@@ -182,13 +182,13 @@
 @cappa.command(name='list', help='List what is configured.')
 @dataclasses.dataclass
 class List:
-    """List names by kind."""
+    """List the names of configured values."""
 
     kind: typing.Annotated[str, cappa.Arg(help='only this kind')] = ''
     platform: PlatformArg = DEFAULT_PLATFORM
 
     def __call__(self) -> None:
-        """Print a line for each configured thing."""
+        """Print one line per configured value."""
         asyncio.run(self._list())
 
     async def _list(self) -> None:
@@ -206,20 +206,20 @@
 @cappa.command(name='validate', help='Check a value; change nothing.')
 @dataclasses.dataclass
 class Validate:
-    """Check a value."""
+    """Check a value without setting it."""
 
     kind: KindArg
     value: ValueArg
 
     def __call__(self) -> None:
-        """Print the value in full, defaults included."""
-        print(_show(_checked(self.kind, self.value)))
+        """Print the value with its defaults."""
+        print(_format_json(_parse_value(self.kind, self.value)))
 
 
 @cappa.command(name='diff', help='Compare a value with the one in force.')
 @dataclasses.dataclass
 class Diff:
-    """Show what a set would change."""
+    """Compare a new value with the one in force."""
 
     kind: KindArg
     name: NameArg
@@ -228,11 +228,11 @@
 
     def __call__(self) -> None:
         """Print a unified diff; exit 1 if there is a difference."""
-        new = _checked(self.kind, self.value)
-        stored = _read(_client(self.platform), self.kind, self.name)
+        new = _parse_value(self.kind, self.value)
+        stored = _read_stored(_client(self.platform), self.kind, self.name)
         lines = difflib.unified_diff(
-            _show(stored.value or {}).splitlines(),
-            _show(new).splitlines(),
+            _format_json(stored.value or {}).splitlines(),
+            _format_json(new).splitlines(),
             'in force',
             'new',
             lineterm='',
@@ -246,7 +246,7 @@
 @cappa.command(name='status', help='Show every proxy of the list.')
 @dataclasses.dataclass
 class Status:
-    """Show the fleet."""
+    """Show the status of all proxies."""
 
     platform: PlatformArg = DEFAULT_PLATFORM
     as_json: typing.Annotated[
@@ -254,7 +254,7 @@
     ] = False
 
     def __call__(self) -> None:
-        """Print a line for each proxy."""
+        """Print one line per proxy, or JSON."""
         asyncio.run(self._status())
 
     async def _status(self) -> None:
@@ -262,7 +262,7 @@
         found = await asyncio.gather(*(fetch_status(p) for p in proxies))
         if self.as_json:
             names = [p['name'] for p in proxies]
-            print(_show(dict(zip(names, found, strict=True))))
+            print(_format_json(dict(zip(names, found, strict=True))))
             return
         for proxy, status in zip(proxies, found, strict=True):
             print(_status_line(proxy, status))
@@ -270,7 +270,7 @@
 
 def _status_line(proxy: dict, status: dict | None) -> str:
     if status is None:
-        return f'{proxy["name"]}: not reached'
+        return f'{proxy["name"]}: unreachable'
     age_ms = status['confirmed_ms_ago']['configuration']
     age = 'never' if age_ms is None else f'{age_ms / 1000:.1f} s ago'
     return (
@@ -283,13 +283,13 @@
 @cappa.command(name='explain', help='Show what owners decided, and why.')
 @dataclasses.dataclass
 class Explain:
-    """Explain a database's primary and its changes."""
+    """Show the state of a database and the decisions of its owners."""
 
     database: typing.Annotated[str, cappa.Arg(help='database name')]
     platform: PlatformArg = DEFAULT_PLATFORM
 
     def __call__(self) -> None:
-        """Print the owners' decisions in the order of their time."""
+        """Print the state and the decisions of all owners, oldest first."""
         asyncio.run(self._explain())
 
     async def _explain(self) -> None:
@@ -297,19 +297,19 @@
         found = await asyncio.gather(
             *(fetch(p, f'/explain/{self.database}') for p in proxies)
         )
-        owners = [one for one in found if one and 'state' in one]
-        if not owners:
+        replies = [each for each in found if each and 'state' in each]
+        if not replies:
             exits.fail(
-                exits.EXIT_REFUSED, f'{self.database}: no owner answers'
+                exits.EXIT_REFUSED, f'{self.database}: no owner responded'
             )
-        for one in owners:
-            state = one['state']
+        for reply in replies:
+            state = reply['state']
             print(
                 f'term {state["term"]}, primary '
                 f'{state["primary"] or "unknown"}, owners '
                 f'{", ".join(state["owners"])}'
             )
-        explanations = [e for one in owners for e in one['explanations']]
+        explanations = [e for reply in replies for e in reply['explanations']]
         explanations.sort(key=lambda e: e['wall_ms'])
         for e in explanations:
             print(f'{e["wall_ms"]} {e["owner"]}: {e["what"]} ({e["why"]})')
@@ -318,7 +318,7 @@
 async def list_proxies(
     platform: platform_client.PlatformClient,
 ) -> list[dict]:
-    """Return the proxies on the platform's list."""
+    """Return the proxies that the platform lists, sorted by name."""
     found = await platform.all_instances()
     if isinstance(found, key_value.Unavailable):
         exits.fail(
@@ -330,7 +330,7 @@
 
 
 async def fetch(proxy: dict, path: str) -> dict | None:
-    """Fetch from a proxy's operators' port; None if it is not reached."""
+    """Return JSON from a proxy's operator port, or None on any failure."""
     url = f'http://{proxy["host"]}:{proxy["operator_port"]}{path}'
     try:
         reply = await httpclient.AsyncHTTPClient().fetch(
@@ -342,7 +342,7 @@
 
 
 async def fetch_status(proxy: dict) -> dict | None:
-    """Fetch a proxy's status."""
+    """Return the status of a proxy, or None on any failure."""
     return await fetch(proxy, '/status')
 
 
@@ -359,7 +359,7 @@
 @cappa.command(name='topazring-admin')
 @dataclasses.dataclass
 class Admin:
-    """Configure the fleet and see what it does."""
+    """Configure and inspect the fleet."""
 
     command: cappa.Subcommands[
         Get
@@ -378,7 +378,7 @@
 
 
 def move_verb_first(words: list[str]) -> list[str]:
-    """Let operators write `profile set NAME` for `set profile NAME`.
+    """Accept `profile set NAME` as a form of `set profile NAME`.
 
     >>> move_verb_first(['profile', 'set', 'browse', '{}'])
     ['set', 'profile', 'browse', '{}']
--- a/topazring/admin/tests/test_trace.py
+++ b/topazring/admin/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Tell stories from logs."""
+"""Extract traces from logs."""
 
 import json
 import subprocess
@@ -39,7 +39,7 @@
 
 
 class TraceTest(testtools.TestCase):
-    """What explains a request, and nothing else."""
+    """A trace has the lines that explain a request, and no others."""
 
     def setUp(self):
         """Read the log."""
@@ -47,9 +47,9 @@
         self.logs = trace.Logs()
         trace.read(LOG, self.logs)
 
-    def test_story(self):
-        """Its own lines, its group's at its proxy, and the promotion."""
-        story = trace.trace_request(self.logs, 'r1')
+    def test_request(self):
+        """Its lines, those of its group at its proxy, and the promotion."""
+        lines = trace.trace_request(self.logs, 'r1')
         self.assertEqual(
             [
                 ('p1', 'connection lost'),
@@ -57,20 +57,20 @@
                 ('p1', 'gave up'),
                 ('p1', 'answered'),
             ],
-            [(told.process, told.event) for told in story],
+            [(each.process, each.event) for each in lines],
         )
 
     def test_bad_lines_are_counted(self):
-        """They are not fatal."""
+        """Lines that cannot be parsed are counted and are not fatal."""
         self.assertEqual(2, self.logs.skipped_count)
 
     def test_group(self):
-        """All proxies, in a span of time."""
-        story = trace.trace_group(self.logs, 's', 1100, 1303)
-        self.assertEqual(['p2', 'p3'], [told.process for told in story])
+        """The lines of all proxies in an interval."""
+        lines = trace.trace_group(self.logs, 's', 1100, 1303)
+        self.assertEqual(['p2', 'p3'], [each.process for each in lines])
 
     def test_command(self):
-        """Standard input, files, and a request that nobody tells of."""
+        """Standard input, an unknown request, and a file that is missing."""
         command = [sys.executable, '-m', 'topazring.admin.main', 'trace']
         done = subprocess.run(
             [*command, 'r1'],
--- a/topazring/admin/trace.py
+++ b/topazring/admin/trace.py
@@ -1,7 +1,7 @@
-"""Tell one request's story, or a group's, from processes' logs.
+"""Extract the trace of a request or a group from the logs of processes.
 
-A proxy's log has the lines that name the request; what else it decided about
-the same group at that time, such as a lost primary, stands between them.
+The trace of a request has the lines that name it, and between them what its
+proxies decided about the same group at that time, such as a lost primary.
 """
 
 import collections.abc
@@ -10,8 +10,8 @@
 
 __all__ = ['Line', 'Logs', 'trace_group', 'read', 'render', 'trace_request']
 
-# What a group decided so long before and after a request's lines explains
-# them: a gap without a primary and the request's own time.
+# Decisions about a group this long before and after a request's lines belong
+# to its trace; this covers an outage and the duration of the request.
 CONTEXT_BEFORE_MS = 2500
 CONTEXT_AFTER_MS = 300
 
@@ -31,16 +31,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Logs:
-    """Hold what was read, and how many lines were none of ours."""
+    """Hold the lines that were read, and counts of those that are missing."""
 
     lines: list[Line] = dataclasses.field(default_factory=list)
+    # Lines that could not be parsed.
     skipped_count: int = 0
     # Lines that processes dropped because there were too many.
     dropped_count: int = 0
 
 
 def read(raw: collections.abc.Iterable[str], logs: Logs) -> None:
-    """Add lines; whatever stands before the first brace is passed over."""
+    """Parse lines and add them; text before the first brace is ignored."""
     for text in raw:
         if not text.strip():
             continue
@@ -54,11 +55,11 @@
 
 
 def _parse(text: str) -> Line | None:
-    begins = text.find('{')
-    if begins < 0:
+    start = text.find('{')
+    if start < 0:
         return None
     try:
-        raw = json.loads(text[begins:])
+        raw = json.loads(text[start:])
         return Line(
             int(raw['time_ms']),
             str(raw['process']),
@@ -73,18 +74,18 @@
 
 
 def trace_request(logs: Logs, request: str) -> list[Line]:
-    """Return a request's lines and what its groups decided around them.
+    """Return a request's lines and the decisions of its groups around them.
 
-    Empty if no line names the request: then it was served in the ordinary
-    way, or its lines were dropped.
+    Empty if no line names the request: it was served in the normal way,
+    or its lines were dropped.
     """
-    own = [line for line in logs.lines if line.request == request]
-    if not own:
+    request_lines = [line for line in logs.lines if line.request == request]
+    if not request_lines:
         return []
-    places = {(line.process, line.service) for line in own}
-    services = {line.service for line in own}
-    first_ms = min(line.time_ms for line in own) - CONTEXT_BEFORE_MS
-    last_ms = max(line.time_ms for line in own) + CONTEXT_AFTER_MS
+    groups = {(line.process, line.service) for line in request_lines}
+    services = {line.service for line in request_lines}
+    first_ms = min(line.time_ms for line in request_lines) - CONTEXT_BEFORE_MS
+    last_ms = max(line.time_ms for line in request_lines) + CONTEXT_AFTER_MS
 
     def belongs(line: Line) -> bool:
         if line.request:
@@ -92,42 +93,42 @@
         if not first_ms <= line.time_ms <= last_ms:
             return False
         if line.event.startswith(('promotion', 'order')):
-            # Decided by one proxy for all of them.
+            # One proxy decides this on behalf of all proxies.
             return line.service in services
-        near = {(line.process, line.service), (line.process, '')}
+        line_groups = {(line.process, line.service), (line.process, '')}
         if not line.service:
-            return any(line.process == process for process, _ in places)
-        return bool(near & places)
+            return any(line.process == process for process, _ in groups)
+        return bool(line_groups & groups)
 
-    story = [line for line in logs.lines if belongs(line)]
-    return sorted(story, key=lambda line: line.time_ms)
+    trace = [line for line in logs.lines if belongs(line)]
+    return sorted(trace, key=lambda line: line.time_ms)
 
 
 def trace_group(
     logs: Logs, service: str, from_ms: int, to_ms: int
 ) -> list[Line]:
-    """Return what all processes decided about a group in a span of time."""
-    story = [
+    """Return the decisions of all processes about a group in an interval."""
+    trace = [
         line
         for line in logs.lines
         if line.service == service
         and from_ms <= line.time_ms <= to_ms
         and not line.request
     ]
-    return sorted(story, key=lambda line: line.time_ms)
+    return sorted(trace, key=lambda line: line.time_ms)
 
 
-def render(story: list[Line]) -> list[str]:
-    """Return a story as text, times counted from its first line."""
-    if not story:
+def render(trace: list[Line]) -> list[str]:
+    """Return a trace as text, with times relative to its first line."""
+    if not trace:
         return []
-    begins_ms = story[0].time_ms
+    start_ms = trace[0].time_ms
     rows = []
-    for line in story:
+    for line in trace:
         inputs = ' '.join(f'{k}={v}' for k, v in line.inputs.items())
         mark = '*' if line.request else ' '
         rows.append(
-            f'{line.time_ms - begins_ms:>7} ms {mark} {line.process} '
+            f'{line.time_ms - start_ms:>7} ms {mark} {line.process} '
             f'{line.service or line.part}: {line.event} {inputs}'.rstrip()
         )
     return rows
--- a/topazring/admin/trace_command.py
+++ b/topazring/admin/trace_command.py
@@ -1,4 +1,4 @@
-"""Read logs and tell a story: `topazring-admin trace`."""
+"""Print a trace from logs: `topazring-admin trace`."""
 
 import dataclasses
 import sys
@@ -14,11 +14,11 @@
 
 @cappa.command(
     name='trace',
-    help="Tell a request's story, or a group's, from processes' logs.",
+    help='Print the trace of a request or of a group from process logs.',
 )
 @dataclasses.dataclass
 class Trace:
-    """Read logs from files, or standard input, and tell a story."""
+    """Read logs from files or standard input and print a trace."""
 
     name: typing.Annotated[
         str, cappa.Arg(help='the request id; with --group its service')
@@ -27,7 +27,7 @@
         list[str], cappa.Arg(help='logs; none: standard input')
     ] = dataclasses.field(default_factory=list)
     group: typing.Annotated[
-        bool, cappa.Arg(long=True, help="tell a group's story")
+        bool, cappa.Arg(long=True, help='print the trace of a group')
     ] = False
     from_ms: typing.Annotated[
         int, cappa.Arg(long='--from-ms', help='since 1970')
@@ -37,17 +37,17 @@
     ] = 2**62
 
     def __call__(self) -> None:
-        """Print the story; exit code 1 if the logs tell nothing."""
+        """Print the trace; exit with 1 if the logs have no line of it."""
         logs = trace.Logs()
         for file in self.files or ['-']:
             _read_log(file, logs)
         if self.group:
-            story = trace.trace_group(
+            lines = trace.trace_group(
                 logs, self.name, self.from_ms, self.to_ms
             )
         else:
-            story = trace.trace_request(logs, self.name)
-        for row in trace.render(story):
+            lines = trace.trace_request(logs, self.name)
+        for row in trace.render(lines):
             print(row)
         if logs.skipped_count or logs.dropped_count:
             print(
@@ -55,8 +55,8 @@
                 f'{logs.dropped_count} were dropped by the processes)',
                 file=sys.stderr,
             )
-        if not story:
-            exits.fail(exits.EXIT_REFUSED, f'no line tells of {self.name}')
+        if not lines:
+            exits.fail(exits.EXIT_REFUSED, f'no log line names {self.name}')
 
 
 def _read_log(file: str, logs: trace.Logs) -> None:
