--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration and membership through outages, with real processes."""
+"""Test configuration and membership in outages, with real processes."""
 
 import asyncio
 import json
@@ -11,19 +11,19 @@
 
 
 def profile(**values):
-    """Return a profile's full value."""
+    """Return a complete profile value; unset fields have their defaults."""
     return catalogue.check('profile', values).model_dump()
 
 
 async def fetch_statuses(fleet):
-    """Return each proxy's status."""
+    """Return the status of each proxy by name; None if it doesn't answer."""
     names = [f'p{n + 1}' for n in range(fleet.plan.proxies)]
     found = [await fleet.get(f'{n} operator', '/status') for n in names]
     return dict(zip(names, found, strict=True))
 
 
 async def wait_until_in_force(fleet, revision, proxies):
-    """Wait until these proxies have a revision."""
+    """Wait until these proxies have the revision or a later one."""
 
     async def reached():
         found = await fetch_statuses(fleet)
@@ -36,7 +36,10 @@
 
 
 class TestConfiguration(support.FleetTestCase):
-    """What is accepted is in force everywhere and never goes back."""
+    """Check that accepted configuration reaches all proxies and stays.
+
+    No proxy returns to an older revision.
+    """
 
     async def set_profile(self, fleet, name, expected=None, **values):
         result = await changes.change(
@@ -60,11 +63,12 @@
 
         self.run_on_fleet(steps, proxies=6)
 
-    def test_frozen_proxy_is_named(self):
-        """Symptom: a change is called in force and one proxy lacks it.
+    def test_wait_reports_frozen_proxy(self):
+        """Guard against reporting a change as in force while a proxy lacks it.
 
-        Sequence: a proxy is stopped; a change is made with --wait. Cause:
-        waiting on a count, or only on those that answer.
+        A proxy is suspended and a change is made with --wait. The report is
+        wrong if the tool waits for a number of proxies, or only for those
+        that answer.
         """
 
         async def steps(fleet):
@@ -81,11 +85,11 @@
         self.run_on_fleet(steps)
 
     def test_database_reconfigured_under_load(self):
-        """Symptom: requests that hang for good after a reconfiguration.
+        """Guard against requests that hang forever after a reconfiguration.
 
-        Sequence: an operator changes a database's slots under load; its
-        owners start anew with the new value. Cause: the old owner task is
-        closed with requests in hand, and nobody answers them.
+        An operator changes the slots of a database under load, and its
+        owners restart with the new value. Requests hang if the old owner
+        task is closed while it holds requests that nothing answers.
         """
 
         async def steps(fleet):
@@ -117,15 +121,15 @@
         self.run_on_fleet(steps)
 
     def test_operators_race_on_one_profile(self):
-        """Symptom: an operator's change vanishes without a word.
+        """Guard against an operator's change being overwritten silently.
 
-        Sequence: two operators read the same revision and both set. Cause:
-        the last write wins.
+        Several operators read the same revision and all set a new value.
+        All changes but the last are lost if the last write wins.
         """
 
         async def steps(fleet):
             base = await self.set_profile(fleet, 'raced')
-            found = await asyncio.gather(
+            results = await asyncio.gather(
                 *(
                     changes.change(
                         fleet.platform,
@@ -137,35 +141,35 @@
                     for staleness_ms in (100, 200, 300)
                 )
             )
-            won = [f for f in found if isinstance(f, changes.Accepted)]
-            lost = [f for f in found if isinstance(f, changes.Raced)]
-            self.assertEqual((1, 2), (len(won), len(lost)))
+            accepted = [f for f in results if isinstance(f, changes.Accepted)]
+            rejected = [f for f in results if isinstance(f, changes.Raced)]
+            self.assertEqual((1, 2), (len(accepted), len(rejected)))
             stored = await changes.read_value(
                 fleet.platform, 'profile', 'raced'
             )
-            for raced in lost:
+            for raced in rejected:
                 self.assertEqual(stored.value, raced.theirs)
                 self.assertNotEqual(stored.value, raced.ours)
 
         self.run_on_fleet(steps)
 
-    def test_answer_of_the_swap_is_lost(self):
-        """Symptom: an operator is told of a race with himself.
+    def test_lost_reply_to_compare_and_swap(self):
+        """Guard against reporting an operator's own change as a conflict.
 
-        Sequence: the swap takes effect; its answer is lost; the tool tries
-        again and finds the value changed. Cause: no mark of whose change
-        it is.
+        A compare-and-swap takes effect and its reply is lost. The tool
+        retries and finds the value changed. It reports a conflict if the
+        stored value does not identify the change that wrote it.
         """
 
         async def steps(fleet):
-            through = admin.platform_client.PlatformClient(
+            lossy_client = admin.platform_client.PlatformClient(
                 '127.0.0.1', fleet.port('link p1/platform'), 'operator'
             )
             base = await self.set_profile(fleet, 'lossy')
             await fleet.set_link('p1/platform', backward='drop')
-            changing = asyncio.create_task(
+            change_task = asyncio.create_task(
                 changes.change(
-                    through,
+                    lossy_client,
                     'profile',
                     'lossy',
                     profile(max_staleness_ms=70),
@@ -182,18 +186,18 @@
             await support.fleets.wait_until(took_effect, 'it takes effect')
             await fleet.set_link('p1/platform', backward='cut')
             await fleet.set_link('p1/platform')
-            result = await changing
-            through.close()
+            result = await change_task
+            lossy_client.close()
             self.assertIsInstance(result, changes.Accepted)
 
         self.run_on_fleet(steps, faults=True)
 
-    def test_start_and_replace_while_the_service_is_down(self):
-        """Symptom: a proxy replaced during an outage refuses everything.
+    def test_proxy_replaced_while_platform_is_down(self):
+        """Guard against a proxy that refuses all requests after a restart.
 
-        Sequence: the service is killed; a proxy is killed and started anew;
-        the service comes back later. Cause: a start that needs the service
-        though all peers know what it would say.
+        The platform service is killed, then a proxy is killed and restarted,
+        and the service comes back later. The proxy refuses all requests if
+        its start needs the service although all peers have the same data.
         """
 
         async def steps(fleet):
@@ -218,11 +222,11 @@
 
         self.run_on_fleet(steps)
 
-    def test_service_frozen_and_slow(self):
-        """Symptom: requests fail because the configuration cannot be read.
+    def test_platform_frozen_and_slow(self):
+        """Guard against requests that fail as configuration cannot be read.
 
-        Sequence: the service freezes for seconds, then answers late. Cause:
-        a call on it in the way of a request.
+        The platform service is suspended for seconds, then answers late.
+        Requests fail if their path includes a call to the service.
         """
 
         async def steps(fleet):
@@ -232,18 +236,18 @@
                 fleet.thaw('platform')
 
             stats = await self.load_during_fault(fleet, fault, seconds=7.0)
-            bad = [n for n in stats.outcomes if not n.endswith(' done')]
-            self.assertEqual([], bad)
+            not_done = [n for n in stats.outcomes if not n.endswith(' done')]
+            self.assertEqual([], not_done)
             revision = await self.set_profile(fleet, 'after')
             await wait_until_in_force(fleet, revision, ['p1', 'p2', 'p3'])
 
         self.run_on_fleet(steps)
 
-    def test_proxy_cut_off_from_the_service_only(self):
-        """Symptom: one proxy serves by an old profile for hours.
+    def test_proxy_partitioned_from_platform_only(self):
+        """Guard against a proxy that applies an old profile for hours.
 
-        Sequence: it cannot reach the service but its peers. Cause: peers
-        that only pass on what they were asked for.
+        The proxy can reach its peers, but not the platform service. It
+        keeps the old profile if peers only send what was requested.
         """
 
         async def steps(fleet):
@@ -255,11 +259,12 @@
 
         self.run_on_fleet(steps, faults=True, proxies=6)
 
-    def test_paused_proxy_never_goes_back(self):
-        """Symptom: a woken proxy brings an old profile back to the fleet.
+    def test_paused_proxy_does_not_restore_old_revision(self):
+        """Guard against a resumed proxy that spreads an old profile.
 
-        Sequence: a proxy is stopped, a profile changes twice, it wakes and
-        gossips what it has. Cause: the last message wins.
+        A proxy is suspended while a profile changes. It resumes and gossips
+        the revision that it has. The old profile replaces the new one if
+        the last message received wins.
         """
 
         async def steps(fleet):
@@ -285,11 +290,12 @@
 
         self.run_on_fleet(steps)
 
-    def test_stale_list_cannot_bring_a_process_back(self):
-        """Symptom: owners keep sending to an instance that has gone.
+    def test_stale_list_does_not_restore_departed_proxy(self):
+        """Guard against owners that keep sending to a departed instance.
 
-        Sequence: a proxy leaves and says so; the platform's list, which
-        lags, still names it. Cause: the list overrules what peers saw.
+        A proxy leaves and announces it, while the platform's list lags and
+        still contains it. Owners keep sending to it if the list overrides
+        what its peers observed.
         """
 
         async def steps(fleet):
--- a/topazring/tests/test_failover.py
+++ b/topazring/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Lose a primary in every way, under load, with real processes."""
+"""Fail the primary in different ways, under load, with real processes."""
 
 import asyncio
 
@@ -8,13 +8,18 @@
 
 
 class TestFailover(support.FleetTestCase):
-    """No acknowledged write is lost, none runs twice, no read goes back."""
+    """Check that failover keeps acknowledged writes and session order.
+
+    No acknowledged write is lost, no write runs twice, and no read returns
+    an older state than the session has already seen.
+    """
 
     def test_primary_killed(self):
-        """Symptom: a saved revision is missing after a crash.
+        """Guard against losing an acknowledged write when the primary crashes.
 
-        Sequence: the primary is killed between acknowledging and
-        replicating. Cause: an acknowledgement that only it could vouch for.
+        The primary is killed after it acknowledges a write and before it
+        replicates it. The write is lost if the acknowledgement relied on
+        the primary alone.
         """
 
         async def steps(fleet):
@@ -27,11 +32,11 @@
         self.run_on_fleet(steps)
 
     def test_primary_frozen_and_thawed(self):
-        """Symptom: a score acknowledged by a primary that was replaced.
+        """Guard against acknowledgements by a primary that was replaced.
 
-        Sequence: the primary stops, another is promoted, the old one wakes
-        and goes on as if nothing had happened. Cause: it still believes
-        that it leads, and answers what it had taken in.
+        The primary is suspended and another one is promoted. When the old
+        primary resumes, it still assumes that it leads and answers the
+        requests that it had already accepted.
         """
 
         async def steps(fleet):
@@ -49,52 +54,52 @@
         self.run_on_fleet(steps)
 
     async def wait_until_following(self, fleet, name):
-        """Wait until an old primary holds the new one's log."""
+        """Wait until a former primary holds the log of the current one."""
 
         async def follows():
             leader = await fleet.primary_of('calc1')
             old = await fleet.ledger(name)
             new = await fleet.ledger(leader)
-            # The new one's log may have grown since the old one's was read.
+            # The primary's log may have grown since the follower's was read.
             count = len(old['log'])
             same_term = count and old['log'][-1]['term'] == new['term']
             return same_term and old['log'] == new['log'][:count]
 
         await support.fleets.wait_until(follows, f'{name} follows')
 
-    def test_cut_off_primary_rejoins_with_a_longer_log(self):
-        """Symptom: two revisions argue on one drawing after a partition.
+    def test_partitioned_primary_rejoins_with_longer_log(self):
+        """Guard against conflicting revisions after a partition heals.
 
-        Sequence: the primary is cut off from its replicas and from half of
-        the proxies; the others go on giving it writes, so its log grows; a
-        new primary is promoted; the partition heals. Cause: the old log is
-        the longer one, and its tail was never majority-held.
+        The primary is partitioned from its replicas and from half of the
+        proxies. The other proxies keep sending it writes, so its log grows
+        while a new primary is promoted. When the partition heals, the old
+        log is the longer one, but no majority ever held its tail.
         """
 
         async def steps(fleet):
             primary = await fleet.primary_of('calc1')
-            before = len((await fleet.ledger(primary))['log'])
-            grown = []
+            length_before = len((await fleet.ledger(primary))['log'])
+            log_lengths = []
 
             async def fault():
                 await experiments.partition_primary(fleet, primary)
                 await asyncio.sleep(2.0)
-                grown.append(len((await fleet.ledger(primary))['log']))
+                log_lengths.append(len((await fleet.ledger(primary))['log']))
                 await restore_links(fleet, primary)
 
             stats = await self.load_during_fault(fleet, fault)
             self.assertTrue(support.acknowledged_by_others(stats, primary))
-            self.assertGreater(grown[0], before)
+            self.assertGreater(log_lengths[0], length_before)
             await self.wait_until_following(fleet, primary)
             self.assertIn('drops its log', fleet.log_of(primary))
 
         self.run_on_fleet(steps, faults=True)
 
-    def test_service_down_while_the_primary_is_lost(self):
-        """Symptom: writes stand still until the platform's service is back.
+    def test_platform_down_while_primary_is_lost(self):
+        """Guard against writes that stall until the platform service is back.
 
-        Sequence: the service freezes, then the primary is killed. Cause: a
-        promotion that has to ask the service for its term.
+        The service is suspended, then the primary is killed. Writes stall
+        if a promotion has to request its term from the service.
         """
 
         async def steps(fleet):
@@ -112,10 +117,11 @@
         self.run_on_fleet(steps)
 
     def test_first_owner_dies_with_the_primary(self):
-        """Symptom: no failover when an instance with both roles' host dies.
+        """Guard against no failover when owner and primary fail together.
 
-        Sequence: the primary and the owner that would promote are killed
-        at the same moment. Cause: the other owner waits for its agreement.
+        An instance that hosts both roles fails: the primary and the owner
+        that would promote are killed at the same moment. No failover
+        happens if the other owner waits for the agreement of the first.
         """
 
         async def steps(fleet):
@@ -133,11 +139,12 @@
         self.run_on_fleet(steps)
 
     def test_second_failure_in_one_outage(self):
-        """Symptom: the second failover of an outage never happens.
+        """Guard against a second failover that never happens in one outage.
 
-        Sequence: the service is down; the primary is killed, then a frozen
-        old replica returns and the new primary is killed as well. Cause: an
-        owner that was granted just one term.
+        While the platform service is down, the first primary is suspended
+        and replaced. It resumes as a replica, and the new primary is killed
+        as well. An owner that was granted only one term cannot promote a
+        second time.
         """
 
         async def steps(fleet):
@@ -158,9 +165,9 @@
         self.run_on_fleet(steps)
 
     async def wait_for_other_primary(self, fleet, lost):
-        """Wait until an upstream other than `lost` leads."""
+        """Return the first upstream other than `lost` found to lead."""
 
-        async def other():
+        async def find_leader():
             names = support.replicas_of(fleet, lost)
             for name in names:
                 found = await fleet.ledger(name)
@@ -168,22 +175,22 @@
                     return name
             return ''
 
-        return await support.fleets.wait_until(other, 'a new primary')
+        return await support.fleets.wait_until(find_leader, 'a new primary')
 
     def test_two_owners_promote_at_once(self):
-        """Symptom: two primaries, each with half of the saves.
+        """Guard against two primaries, each with half of the writes.
 
-        Sequence: the primary is killed; a rival, which believes to be an
-        owner and was granted terms as one is, fences and promotes on its
-        own at the same time as the owners. Cause: a promotion that is safe
-        only if one owner promotes at a time.
+        The primary is killed. A rival, which acts as an owner and was
+        granted terms like one, fences and promotes independently while the
+        owners do the same. Two primaries result if a promotion is safe only
+        when one owner promotes at a time.
         """
 
         async def steps(fleet):
             primary = await fleet.primary_of('calc1')
             rival = await rivals.make_rival(fleet, 'calc1')
             names = support.replicas_of(fleet, primary)
-            # One replica lags, so it matters which one is promoted.
+            # One replica lags, so the choice of the promoted replica matters.
             await fleet.post(f'{names[0]}/set', {'lag_ms': 400})
 
             async def fault():
@@ -199,18 +206,18 @@
                 for entry in (await fleet.ledger(name))['ledger']:
                     if entry['what'] == 'read':
                         continue
-                    led = leaders.setdefault(entry['term'], name)
-                    self.assertEqual(led, name, entry)
+                    leader = leaders.setdefault(entry['term'], name)
+                    self.assertEqual(leader, name, entry)
             await rival.close()
 
         self.run_on_fleet(steps)
 
     def test_replicas_far_behind(self):
-        """Symptom: writes end in doubt when replicas cannot keep up.
+        """Guard against in-doubt writes when replicas cannot keep up.
 
-        Sequence: both replicas fall far behind; writes go on coming. Cause:
-        they run at the primary and no majority holds them in time. Once
-        the lag is known, they are refused before they run.
+        Both replicas fall far behind while writes continue. The writes run
+        at the primary, but no majority holds them in time. Once the lag is
+        detected, writes are refused before they run.
         """
 
         async def steps(fleet):
@@ -240,11 +247,12 @@
         self.run_on_fleet(steps)
 
     def test_session_roams_through_a_promotion(self):
-        """Symptom: a checker at another office sees the older beam size.
+        """Guard against a session that misses its own write after moving.
 
-        Sequence: a save; the primary is lost; the session moves to another
-        proxy and reads with an old-age profile from a replica. Cause: a
-        replica that is fresh enough by age and lacks the session's save.
+        A session writes, the primary is lost, and the session moves to
+        another proxy, where it reads from a replica under a profile that
+        allows stale reads. The read returns the older value if the replica
+        is within the staleness limit but lacks the session's write.
         """
 
         async def steps(fleet):
@@ -270,7 +278,7 @@
 
 
 async def restore_links(fleet, primary):
-    """Let all links of a primary pass again."""
+    """Restore all links of a primary."""
     for peer in support.replicas_of(fleet, primary):
         await fleet.set_link(f'{primary}/{peer}')
     for number in range(fleet.plan.proxies):
--- a/topazring/tests/test_protocol.py
+++ b/topazring/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The callers' protocol: a named error each, and the session goes on."""
+"""Test the callers' protocol: error reasons and session survival."""
 
 import json
 
@@ -7,16 +7,19 @@
 
 
 class TestProtocol(support.FleetTestCase):
-    """Bad input is answered; the connection and the process survive."""
+    """Check that bad input is answered with a named reason.
+
+    The connection and the process survive it.
+    """
 
     def test_bad_input(self):
-        self.run_on_fleet(self._bad_input, proxies=2)
+        self.run_on_fleet(self._check_bad_input, proxies=2)
 
-    async def _bad_input(self, fleet):
+    async def _check_bad_input(self, fleet):
         session = await fleet.session('p1')
         await session.write(support.TABLE)
 
-        async def reason(frame):
+        async def send_for_reason(frame):
             return (await session.send(frame)).reason
 
         write = {'type': 'write', 'statement': 'SELECT 1'}
@@ -44,16 +47,16 @@
             ({'type': 'hello', **session.hello}, 'bad_frame'),
         )
         for frame, expected in cases:
-            self.assertEqual(expected, await reason(frame), frame)
-        # Not JSON has no id to answer to, and ends nothing.
+            self.assertEqual(expected, await send_for_reason(frame), frame)
+        # A frame that is not JSON has no id to answer; the session stays open.
         session.socket.write_message('{')
         session.socket.write_message(b'\x00\xff', binary=True)
         answer = await session.read('SELECT 7')
         self.assertEqual([[7]], answer.rows)
-        await self._statements_that_reach_out(session)
-        await self._bad_hellos(fleet)
+        await self._check_forbidden_statements(session)
+        await self._check_bad_hellos(fleet)
 
-    async def _statements_that_reach_out(self, session):
+    async def _check_forbidden_statements(self, session):
         for sql in (
             'COMMIT',
             '/* */ ROLLBACK',
@@ -65,7 +68,7 @@
             answer = await session.write(sql)
             self.assertEqual('bad_statement', answer.reason, sql)
 
-    async def _bad_hellos(self, fleet):
+    async def _check_bad_hellos(self, fleet):
         good = ('ballinure', 'ballinure-key', 'calc1', 'saves')
         cases = (
             (0, 'zebra', 'forbidden'),
@@ -74,20 +77,20 @@
             (3, 'zebra', 'unknown_profile'),
         )
         for index, value, expected in cases:
-            words = list(good)
-            words[index] = value
-            session = client.Session(fleet.url('p2'), *words)
+            arguments = list(good)
+            arguments[index] = value
+            session = client.Session(fleet.url('p2'), *arguments)
             answer = await session.start()
             self.assertEqual(expected, answer.reason)
-            # The connection survives; a right hello follows on it.
-            words = dict(
+            # The connection survives and accepts a valid hello afterwards.
+            hello = dict(
                 zip(
                     ('organisation', 'key', 'database', 'profile'),
                     good,
                     strict=True,
                 )
             )
-            again = await session.send({'type': 'hello', **words})
+            again = await session.send({'type': 'hello', **hello})
             self.assertTrue(again.done)
             await session.close()
 
@@ -114,10 +117,11 @@
         self.run_on_fleet(steps, proxies=2)
 
     def test_conflicting_transactions(self):
-        """Symptom: two reviewers' changes overwrite each other.
+        """Guard against lost updates between two transactions.
 
-        Sequence: two transactions read the same row, both change it, both
-        commit. Cause: the second commits over what it has not seen.
+        Two transactions read the same data, both change it and both commit.
+        An update is lost if the second commits over a change that it has
+        not read.
         """
 
         async def steps(fleet):
@@ -136,7 +140,7 @@
 
         self.run_on_fleet(steps, proxies=2)
 
-    def test_seen_from_outside(self):
+    def test_health_metrics_and_status(self):
         async def steps(fleet):
             health = await fleet.get('p1 operator', '/health')
             self.assertEqual({'state': 'ready'}, health)
