--- a/topazring/load/__init__.py
+++ b/topazring/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load a fleet and measure what it does."""
+"""Generate load on a fleet and measure its answers."""
--- a/topazring/load/demo.py
+++ b/topazring/load/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole path on stand-ins: `make demo`."""
+"""Demonstrate the complete request path on stand-ins: `make demo`."""
 
 import asyncio
 
@@ -9,48 +9,56 @@
 
 
 def print_step(text: str) -> None:
-    """Print a step of the story."""
+    """Print one step of the demo."""
     print(f'- {text}')
 
 
 async def run_scenario(fleet: fleets.Fleet) -> None:
-    """Save, roam, read back, lose the primary, read back again."""
+    """Write, move the session, read; repeat after the primary is killed."""
     print_step('started a platform, three upstreams and three proxies')
     owners = await fleet.owners_of('calc1')
     primary = await fleet.primary_of('calc1')
     print_step(f'calc1 is owned by {" and ".join(owners)}; {primary} leads it')
-    cork = await fleet.session('p1', 'saves')
-    await cork.write('CREATE TABLE beams (id INTEGER PRIMARY KEY, size TEXT)')
-    saved = await cork.write('INSERT INTO beams (size) VALUES (?)', ['IPE300'])
+    first_session = await fleet.session('p1', 'saves')
+    await first_session.write(
+        'CREATE TABLE beams (id INTEGER PRIMARY KEY, size TEXT)'
+    )
+    saved = await first_session.write(
+        'INSERT INTO beams (size) VALUES (?)', ['IPE300']
+    )
     print_step(f'an engineer saved a beam through p1: {saved.outcome}')
-    galway = await fleet.session('p2', 'browse', token=cork.token)
-    read = await galway.read('SELECT size FROM beams')
+    second_session = await fleet.session(
+        'p2', 'browse', token=first_session.token
+    )
+    read = await second_session.read('SELECT size FROM beams')
     print_step(
         f'the session moved to p2 and read {read.rows[0][0]} from '
         f'{read.served_by}, with no state in either proxy'
     )
     await fleet.kill(primary)
     print_step(f'{primary} was killed')
-    saved = await galway.write(
+    saved = await second_session.write(
         'INSERT INTO beams (size) VALUES (?)', ['HEB200']
     )
     print_step(
         f'the next save waited for a new primary and was {saved.outcome} '
         f'at {saved.served_by}'
     )
-    last = await fleet.session('p3', 'strict', token=galway.token)
-    read = await last.read('SELECT size FROM beams ORDER BY id')
+    third_session = await fleet.session(
+        'p3', 'strict', token=second_session.token
+    )
+    read = await third_session.read('SELECT size FROM beams ORDER BY id')
     sizes = ', '.join(row[0] for row in read.rows)
-    print_step(f'the session moved to p3 and read {sizes}: nothing is lost')
-    print_step('what the owners say of it:')
+    print_step(f'the session moved to p3 and read {sizes}: no write is lost')
+    print_step('explanations recorded by the owners:')
     for owner in owners:
-        found = await fleet.get(f'{owner} operator', '/explain/calc1')
-        for line in found['explanations'][-3:]:
+        reply = await fleet.get(f'{owner} operator', '/explain/calc1')
+        for line in reply['explanations'][-3:]:
             print(f'    {owner}: {line["what"]} ({line["why"]})')
 
 
 async def run() -> None:
-    """Run the demo on a fleet of its own."""
+    """Run the demo on a new fleet."""
     fleet = fleets.Fleet(plans.Plan())
     try:
         await fleet.start()
--- a/topazring/load/experiments.py
+++ b/topazring/load/experiments.py
@@ -1,4 +1,4 @@
-"""Run experiments on stand-ins: each starts fleets of its own."""
+"""Run experiments on stand-ins, each on its own fleets."""
 
 import asyncio
 import collections.abc
@@ -61,23 +61,23 @@
 MAX_CONCURRENT_FLEETS = 3
 
 
-# ---- the failover gap ----------------------------------------------------
+# ---- outage during a failover --------------------------------------------
 
 
 async def kill_primary(fleet: fleets.Fleet, primary: str) -> None:
-    """End the primary's process: connections are refused."""
+    """Kill the process of the primary, so that connections are refused."""
     await fleet.kill(primary)
 
 
 async def freeze_primary(fleet: fleets.Fleet, primary: str) -> None:
-    """Stop the primary's process: connections go silent."""
+    """Suspend the process of the primary, so that connections go silent."""
     fleet.freeze(primary)
 
 
 async def partition_primary(fleet: fleets.Fleet, primary: str) -> None:
-    """Cut the primary off from its replicas and half of the proxies.
+    """Partition the primary from its replicas and half of the proxies.
 
-    The first owner still reaches it and goes on giving it writes.
+    The first owner still reaches it and keeps sending it writes.
     """
     database = fleet.plan.databases[0]
     for peer in fleet.upstream_names(database):
@@ -102,9 +102,12 @@
 
 
 async def measure_failover(
-    size: str, fault: str, store_down: bool
+    size: str, fault: str, platform_down: bool
 ) -> tuple[float | None, report.Summary]:
-    """Lose a primary under load; return the gap and the load's figures."""
+    """Fail a primary under load; return the outage in ms and the summary.
+
+    The outage is None if no other primary acknowledged a write.
+    """
     databases = SIZES[size]().databases[:1]
     plan = SIZES[size](databases=databases, faults=fault == 'cut')
     fleet = fleets.Fleet(plan)
@@ -116,55 +119,58 @@
         running = asyncio.create_task(load.run())
         await asyncio.sleep(WARM_UP_S)
         primary = await fleet.primary_of(plan.databases[0])
-        if store_down:
+        if platform_down:
             fleet.freeze('platform')
         lost_at = time.monotonic()
         await FAULTS[fault](fleet, primary)
         stats = await running
         await load.close()
-        gap_ms = report.failover_outage_ms(stats, lost_at, primary)
-        return gap_ms, report.summarize(stats, mix.seconds, primary)
+        outage_ms = report.failover_outage_ms(stats, lost_at, primary)
+        return outage_ms, report.summarize(stats, mix.seconds, primary)
     finally:
         await fleet.close()
 
 
-async def _repeat(runs: int, make) -> list:
-    """Run a few fleets at a time; each takes a fraction of a core."""
-    found = []
-    while len(found) < runs:
-        count = min(MAX_CONCURRENT_FLEETS, runs - len(found))
-        found += await asyncio.gather(*(make() for _ in range(count)))
-    return found
+async def _repeat(runs: int, run_once) -> list:
+    """Return the results of `runs` runs, a few of them at a time.
+
+    The number is limited since each fleet takes a fraction of a core.
+    """
+    results = []
+    while len(results) < runs:
+        count = min(MAX_CONCURRENT_FLEETS, runs - len(results))
+        results += await asyncio.gather(*(run_once() for _ in range(count)))
+    return results
 
 
 async def _failover(size: str, runs: int) -> Rows:
     rows = []
     for fault in FAULTS:
-        for store_down in (False, True):
-            gaps = []
+        for platform_down in (False, True):
+            outages_ms = []
             totals = {'unknown': 0, 'not run': 0, 'done': 0}
             violations = 0
             slowest_ms = 0.0
-            for gap_ms, summary in await _repeat(
-                runs, lambda: measure_failover(size, fault, store_down)
+            for outage_ms, summary in await _repeat(
+                runs, lambda: measure_failover(size, fault, platform_down)
             ):
-                gaps.append(gap_ms)
+                outages_ms.append(outage_ms)
                 violations += summary.violations
                 slowest_ms = max(slowest_ms, _slowest_write_ms(summary))
                 for name, count in summary.outcomes.items():
                     kind = name.split()[1].replace('_', ' ')
                     if name.startswith('write') and kind in totals:
                         totals[kind] += count
-            known = [gap for gap in gaps if gap is not None]
+            ended_ms = [outage for outage in outages_ms if outage is not None]
             rows.append(
                 {
                     'size': size,
                     'fault': fault,
-                    'store': 'down' if store_down else 'up',
+                    'store': 'down' if platform_down else 'up',
                     'runs': runs,
-                    'no write after': len(gaps) - len(known),
-                    'gap median ms': statistics.median(known),
-                    'gap worst ms': max(known),
+                    'no write after': len(outages_ms) - len(ended_ms),
+                    'gap median ms': statistics.median(ended_ms),
+                    'gap worst ms': max(ended_ms),
                     'writes done': totals['done'],
                     'writes not run': totals['not run'],
                     'writes unknown': totals['unknown'],
@@ -177,7 +183,7 @@
 
 
 def _slowest_write_ms(summary: report.Summary) -> float:
-    """Return how long a write waited for its final answer at the most."""
+    """Return the longest time until the final answer to a write, in ms."""
     return max(
         figures['max']
         for kind, figures in summary.latency_ms.items()
@@ -199,12 +205,12 @@
 
 # ---- the replica read share ----------------------------------------------
 
-# The lag of either replica.
+# The lags of the two replicas.
 LAGS_MS = ((5, 5), (100, 100), (1000, 1000), (5, 30_000))
 MIXES = {
     # Drawing offices and reviewers read all day.
     'ballinure': generator.Mix(rate=250, read_share=0.95, seconds=10),
-    # Scores come in all night; standings are refreshed.
+    # Scores are written all night; standings are read repeatedly.
     'dizon': generator.Mix(rate=250, read_share=0.8, seconds=10),
 }
 POLICIES = ('', 'primary_only', 'blind_replica')
@@ -213,7 +219,7 @@
 async def measure_replica_share(
     size: str, lags_ms: tuple[int, int], baseline: str
 ) -> report.Summary:
-    """Run a size's mix with its replicas at the given lags."""
+    """Run the load mix of a size with the given replica lags."""
     databases = SIZES[size]().databases[:1]
     plan = SIZES[size](databases=databases, baseline=baseline)
     fleet = fleets.Fleet(plan)
@@ -286,7 +292,7 @@
     return await _share('dizon')
 
 
-# ---- the cost of being sure ----------------------------------------------
+# ---- the cost of confirmation --------------------------------------------
 
 
 @experiment
@@ -322,7 +328,7 @@
 
 # ---- overload ------------------------------------------------------------
 
-# Three slots of 5 ms each: what the primary can do at the very most.
+# Three slots with statements of 5 ms: the maximum throughput of the primary.
 STATEMENT_MS = 5.0
 SLOT_RATE = 3 / STATEMENT_MS * 1000
 FACTORS = (0.5, 1.0, 1.5, 2.0, 5.0)
@@ -356,7 +362,7 @@
 
 
 async def _retries(fleet: fleets.Fleet) -> int:
-    """Return how often owners gave a request to an upstream again."""
+    """Return how often owners retried a request at an upstream."""
     total = 0
     for number in range(fleet.plan.proxies):
         found = await fleet.get(f'p{number + 1} operator', '/explain/calc1')
@@ -372,7 +378,7 @@
     counts = summary.outcomes
     refused = sum(n for k, n in counts.items() if 'not_run' in k)
     done = summary.latency_ms.get('write', {})
-    told = summary.latency_ms.get('write not_run', {})
+    refusals = summary.latency_ms.get('write not_run', {})
     return {
         'load': f'{factor}x',
         'asked a second': mix.rate,
@@ -382,12 +388,12 @@
         'retries': retried,
         'done p50 ms': done.get('p50'),
         'done p99 ms': done.get('p99'),
-        'refused p50 ms': told.get('p50', ''),
-        'refused p99 ms': told.get('p99', ''),
+        'refused p50 ms': refusals.get('p50', ''),
+        'refused p99 ms': refusals.get('p99', ''),
     }
 
 
-# ---- one organisation's flood --------------------------------------------
+# ---- one organisation floods ---------------------------------------------
 
 ORDINARY_COUNT = 20
 ORDINARY_RATE = 20.0
@@ -407,8 +413,8 @@
             found = await _run_all(fleet, flooding)
         finally:
             await fleet.close()
-        for who, stats in found.items():
-            rows.append(_flood_row(flooding, who, stats))
+        for kind, stats in found.items():
+            rows.append(_flood_row(flooding, kind, stats))
             print(rows[-1], flush=True)
     return rows
 
@@ -416,7 +422,10 @@
 async def _run_all(
     fleet: fleets.Fleet, flooding: bool
 ) -> dict[str, generator.Stats]:
-    """Run all loads at once; return the ordinary ones' and the flood's."""
+    """Run all loads concurrently; return their statistics by kind.
+
+    The ordinary organisations' statistics are merged.
+    """
     loads = []
     for number, name in enumerate(fleet.plan.organisations):
         floods = number == ORDINARY_COUNT
@@ -449,14 +458,14 @@
     return found
 
 
-def _flood_row(flooding: bool, who: str, stats: generator.Stats) -> dict:
+def _flood_row(flooding: bool, kind: str, stats: generator.Stats) -> dict:
     summary = report.summarize(stats, 8.0)
     done = summary.latency_ms.get('write', {})
     asked = sum(summary.outcomes.values())
     ran = summary.outcomes.get('write done', 0)
     return {
         'flood': 'yes' if flooding else 'no',
-        'who': who,
+        'who': kind,
         'asked': asked,
         'done': f'{ran / asked:.2%}',
         'done p50 ms': done.get('p50'),
--- a/topazring/load/generator.py
+++ b/topazring/load/generator.py
@@ -1,4 +1,4 @@
-"""Send a mix of reads and writes at a rate, and check every answer."""
+"""Send reads and writes at a fixed rate and check every answer."""
 
 import asyncio
 import collections
@@ -17,7 +17,8 @@
     'CREATE TABLE IF NOT EXISTS marks '
     '(session INTEGER PRIMARY KEY, n INTEGER NOT NULL)'
 )
-# Writes of one user may end in any order; the mark never goes down.
+# The writes of one user may complete in any order; max() keeps the stored
+# value from decreasing.
 WRITE = (
     'INSERT INTO marks VALUES (?, ?) '
     'ON CONFLICT (session) DO UPDATE SET n = max(n, excluded.n)'
@@ -25,13 +26,14 @@
 READ = 'SELECT n FROM marks WHERE session = ?'
 MAX_LATENCY_MS = 120_000
 RECONNECT_S = 0.05
-# A write is repeated under its own id for that long after a loss.
+# After a lost connection, a write is retried under the same request id until
+# this time has passed since its first attempt.
 WRITE_RETRY_LIMIT_S = 20.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mix:
-    """Describe a load."""
+    """Describe the load to generate."""
 
     sessions: int = 40
     rate: float = 200.0
@@ -46,7 +48,7 @@
 
 @dataclasses.dataclass
 class Stats:
-    """Hold what a load has seen."""
+    """Hold the results of a load."""
 
     outcomes: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
@@ -55,18 +57,19 @@
     served_by: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
     )
-    # Reads that missed the session's own work, went back, or were too old.
+    # Reads that missed the session's own writes, returned an older state than
+    # before, or exceeded the maximum staleness.
     violations: list = dataclasses.field(default_factory=list)
     # (time, upstream) of each acknowledged write.
     acknowledged: list = dataclasses.field(default_factory=list)
     roams: int = 0
     sent: int = 0
-    # What became of each write, for the upstreams' ledgers to confirm.
+    # Request ids of writes by outcome, checked against the upstreams' ledgers.
     done_ids: set = dataclasses.field(default_factory=set)
     not_run_ids: set = dataclasses.field(default_factory=set)
 
     def record(self, kind: str, seconds: float) -> None:
-        """Record how long an answer took."""
+        """Record the latency of an answer."""
         recorded = self.latency.get(kind)
         if recorded is None:
             recorded = histogram.HdrHistogram(1, MAX_LATENCY_MS * 1000, 2)
@@ -76,7 +79,7 @@
 
 @dataclasses.dataclass
 class User:
-    """Hold one session, what it wrote and what it has seen."""
+    """Hold one session with the values that it has written and read."""
 
     number: int
     session: client.Session
@@ -87,7 +90,7 @@
 
 
 class Load:
-    """Own the sessions of one load."""
+    """Generate one load over its own sessions."""
 
     def __init__(
         self,
@@ -106,26 +109,26 @@
         self.rng = random.Random(mix.seed)
         self.users: list[User] = []
         self.tasks: set[asyncio.Task] = set()
-        # (time, n) of each user's acknowledged writes, for the age check.
+        # (time, n) of each user's acknowledged writes, to check staleness.
         self.history: dict[int, list[tuple[float, int]]] = {}
 
     async def start(self) -> None:
-        """Open the sessions and make the table."""
+        """Open the sessions and create the table."""
         for number in range(self.mix.sessions):
             session = await self._open(number, '')
             self.users.append(User(number, session))
-        first = self.users[0].session
-        await first.write(TABLE)
+        first_session = self.users[0].session
+        await first_session.write(TABLE)
 
     async def close(self) -> None:
-        """Wait for the answers under way, and close the sessions."""
+        """Wait up to 60 s for pending answers, then close the sessions."""
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=60)
         for user in self.users:
             await user.session.close()
 
     async def _open(self, number: int, token: str) -> client.Session:
-        """Open a session at some proxy, trying the others if it is gone."""
+        """Open a session at a proxy; if that fails, try the next one."""
         attempt = 0
         while True:
             url = self.urls[(number + attempt) % len(self.urls)]
@@ -149,13 +152,14 @@
             await asyncio.sleep(RECONNECT_S)
 
     async def run(self) -> Stats:
-        """Send at the rate, whether or not answers keep up."""
-        began = time.monotonic()
+        """Send at the configured rate, however slow the answers are."""
+        started_at = time.monotonic()
         sent = 0
-        # Many slow loads in one process must not spend it on waking up.
+        # Loads with a low rate sleep longer, so that many of them in one
+        # process do not use up its processor time on wake-ups.
         pause_s = min(0.02, max(0.001, 0.2 / self.mix.rate))
-        while time.monotonic() - began < self.mix.seconds:
-            due = int((time.monotonic() - began) * self.mix.rate)
+        while time.monotonic() - started_at < self.mix.seconds:
+            due = int((time.monotonic() - started_at) * self.mix.rate)
             while sent < due:
                 self._send_one(sent)
                 sent += 1
@@ -172,19 +176,21 @@
         else:
             self._spawn(self._write(user))
 
-    def _note(self, kind: str, answer: client.Answer, began: float) -> None:
+    def _record_answer(
+        self, kind: str, answer: client.Answer, started_at: float
+    ) -> None:
         name = f'{kind} {answer.outcome}'
         if answer.reason:
             name += f' {answer.reason}'
         self.stats.outcomes[name] += 1
         label = kind if answer.done else f'{kind} {answer.outcome}'
-        self.stats.record(label, time.monotonic() - began)
+        self.stats.record(label, time.monotonic() - started_at)
 
     async def _write(self, user: User) -> None:
         user.sent += 1
         n = user.sent
         request_id = client.new_request_id()
-        began = time.monotonic()
+        started_at = time.monotonic()
         repeat = False
         while True:
             session = await self._session_of(user)
@@ -194,12 +200,12 @@
                 )
                 break
             except client.ConnectionLost:
-                if time.monotonic() - began > WRITE_RETRY_LIMIT_S:
+                if time.monotonic() - started_at > WRITE_RETRY_LIMIT_S:
                     self.stats.outcomes['write lost'] += 1
                     return
                 repeat = True
                 await self._roam(user, session)
-        self._note('write', answer, began)
+        self._record_answer('write', answer, started_at)
         if answer.outcome == 'not_run':
             self.stats.not_run_ids.add(request_id)
         if not answer.done:
@@ -213,15 +219,15 @@
     async def _session_of(self, user: User) -> client.Session:
         """Return the user's session, moved if its proxy is leaving.
 
-        It also moves now and then by itself, if the mix says so.
+        Also move it at random, for the share of requests that the mix sets.
         """
         session = user.session
         if session.leaving or self.rng.random() < self.mix.roam_share:
             await self._roam(user, session)
-            self._spawn(self._close_when_quiet(session))
+            self._spawn(self._close_when_idle(session))
         return user.session
 
-    async def _close_when_quiet(self, session: client.Session) -> None:
+    async def _close_when_idle(self, session: client.Session) -> None:
         while session.waiting:
             await asyncio.sleep(RECONNECT_S)
         await session.close()
@@ -232,7 +238,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _roam(self, user: User, lost: client.Session) -> None:
-        """Take the session to another proxy, once for all that wait."""
+        """Move a session to a random proxy, once for all pending requests."""
         async with user.roam_lock:
             if user.session is lost:
                 self.stats.roams += 1
@@ -241,10 +247,10 @@
 
     async def _read(self, user: User) -> None:
         target = self.rng.choice((user, self.rng.choice(self.users)))
-        own = user.acked if target is user else 0
-        floor = max(own, user.seen.get(target.number, 0))
-        began = time.monotonic()
-        aged = self._acked_before(target, began)
+        own_floor = user.acked if target is user else 0
+        floor = max(own_floor, user.seen.get(target.number, 0))
+        started_at = time.monotonic()
+        min_fresh = self._acked_before(target, started_at)
         session = await self._session_of(user)
         try:
             answer = await session.read(READ, [target.number])
@@ -252,31 +258,34 @@
             self.stats.outcomes['read lost'] += 1
             await self._roam(user, session)
             return
-        self._note('read', answer, began)
+        self._record_answer('read', answer, started_at)
         if not answer.done:
             return
         self.stats.served_by[answer.served_by] += 1
         n = answer.rows[0][0] if answer.rows else 0
-        self._check(user, target, n, floor, aged)
+        self._check(user, target, n, floor, min_fresh)
         user.seen[target.number] = max(user.seen.get(target.number, 0), n)
 
     def _acked_before(self, target: User, now: float) -> int:
-        """Return what a read that begins now has to show at least."""
-        oldest = now - self.mix.max_staleness_ms / 1000
+        """Return the least value that a read started at `now` may return.
+
+        It is the last value acknowledged before the staleness limit.
+        """
+        oldest_allowed = now - self.mix.max_staleness_ms / 1000
         for at, n in reversed(self.history.get(target.number, [])):
-            if at <= oldest:
+            if at <= oldest_allowed:
                 return n
         return 0
 
     def _check(
-        self, user: User, target: User, n: int, floor: int, aged: int
+        self, user: User, target: User, n: int, floor: int, min_fresh: int
     ) -> None:
-        """Note a read that broke a promise."""
-        highest = max(floor, aged)
-        if n >= highest:
+        """Record a violation if a read returned too low a value."""
+        required = max(floor, min_fresh)
+        if n >= required:
             return
-        what = 'too old' if n < aged else 'not its own or back'
+        what = 'too old' if n < min_fresh else 'missed own write or went back'
         self.stats.violations.append(
             f'{what}: user {user.number} read {n} of {target.number}, '
-            f'wanted {highest}'
+            f'expected at least {required}'
         )
--- a/topazring/load/main.py
+++ b/topazring/load/main.py
@@ -1,4 +1,4 @@
-"""Load a fleet, run an experiment on stand-ins, or soak real processes."""
+"""Generate load, run experiments on stand-ins, or soak real processes."""
 
 import asyncio
 import dataclasses
@@ -25,25 +25,28 @@
 EXIT_VIOLATIONS = 1
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
-# The stand-ins that a soak runs on need what only tests need.
+# Imported only for a soak: its stand-ins need what only tests need.
 SOAK_STAGE = 'topazring.platform.tests.soak_stage'
 
 
 @cappa.command(name='run', help='Load proxies that run already.')
 @dataclasses.dataclass
 class Run:
-    """Send reads and writes at a rate and sum up the answers."""
+    """Send reads and writes at a fixed rate and summarize the answers."""
 
     url: typing.Annotated[
         list[str],
         cappa.Arg(long=True, help='ws://HOST:PORT/session of a proxy'),
     ]
     organisation: typing.Annotated[str, cappa.Arg(long=True)]
-    key: typing.Annotated[str, cappa.Arg(long=True, help='its key')]
+    key: typing.Annotated[
+        str, cappa.Arg(long=True, help='key of the organisation')
+    ]
     database: typing.Annotated[str, cappa.Arg(long=True)]
     profile: typing.Annotated[str, cappa.Arg(long=True)] = 'browse'
     max_staleness_ms: typing.Annotated[
-        int, cappa.Arg(long=True, help='what the profile promises')
+        int,
+        cappa.Arg(long=True, help='maximum staleness that the profile allows'),
     ] = 2000
     sessions: typing.Annotated[int, cappa.Arg(long=True)] = 40
     rate: typing.Annotated[
@@ -56,10 +59,10 @@
     ] = False
 
     def __call__(self) -> None:
-        """Run the load; exit 1 if a promise was broken."""
+        """Run the load; exit with 1 if a guarantee was violated."""
         if not self.url or not 0 <= self.read_share <= 1:
             print(
-                'topazring-load: want --url and --read-share from 0 to 1',
+                'topazring-load: need --url and --read-share from 0 to 1',
                 file=sys.stderr,
             )
             sys.exit(EXIT_BAD_INPUT)
@@ -91,7 +94,7 @@
 @cappa.command(name='experiment', help='Run an experiment on stand-ins.')
 @dataclasses.dataclass
 class Experiment:
-    """Start a fleet of stand-ins, cause faults, print the figures."""
+    """Start fleets of stand-ins, inject faults and print the measurements."""
 
     name: typing.Annotated[
         str, cappa.Arg(help='its name, or `list` for all names')
@@ -102,7 +105,7 @@
     ] = False
 
     def __call__(self) -> None:
-        """Run it and print a table."""
+        """Run the experiment and print its rows; `list` prints all names."""
         known = experiments.experiments()
         if self.name == 'list':
             for name, function in known.items():
@@ -124,20 +127,20 @@
 @cappa.command(name='soak', help='Run real processes through faults.')
 @dataclasses.dataclass
 class Soak:
-    """Cause the faults of a seed and check every promise meanwhile."""
+    """Inject the faults drawn from a seed and check every guarantee."""
 
     seed: typing.Annotated[int, cappa.Arg(long=True)]
     seconds: typing.Annotated[float, cappa.Arg(long=True)] = 25.0
     proxies: typing.Annotated[int, cappa.Arg(long=True)] = 3
     family: typing.Annotated[
-        list[str], cappa.Arg(long=True, help='draw only such faults')
+        list[str], cappa.Arg(long=True, help='draw only faults of this family')
     ] = dataclasses.field(default_factory=list)
     quiet: typing.Annotated[
-        bool, cappa.Arg(long=True, help='do not tell each fault')
+        bool, cappa.Arg(long=True, help='do not print each fault')
     ] = False
 
     def __call__(self) -> None:
-        """Run it; exit 1 and keep the logs if a promise was broken."""
+        """Run the soak; keep the logs and exit with 1 if a check failed."""
         unknown = set(self.family) - set(faults.families())
         if unknown:
             print(
@@ -147,8 +150,8 @@
             sys.exit(EXIT_BAD_INPUT)
         schedule = schedules.draw(self.seed, self.seconds, tuple(self.family))
         folder = tempfile.mkdtemp(prefix=f'topazring-soak-{self.seed}-')
-        kind = importlib.import_module(SOAK_STAGE).Stage
-        stage = kind(schedule, self.proxies, folder)
+        stage_class = importlib.import_module(SOAK_STAGE).Stage
+        stage = stage_class(schedule, self.proxies, folder)
         try:
             outcome = asyncio.run(self._run(stage, schedule))
         except (asyncio.CancelledError, KeyboardInterrupt):
@@ -161,18 +164,19 @@
         shutil.rmtree(folder)
 
     async def _run(self, stage, schedule: schedules.Schedule) -> soaks.Outcome:
-        # An interrupted soak ends its processes too.
+        # SIGTERM cancels the task, so that an interrupted soak also ends its
+        # processes.
         task = asyncio.current_task()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
-        tell = (lambda text: None) if self.quiet else print
-        return await soaks.run_schedule(stage, schedule, tell)
+        report_fault = (lambda text: None) if self.quiet else print
+        return await soaks.run_schedule(stage, schedule, report_fault)
 
 
 @cappa.command(name='topazring-load')
 @dataclasses.dataclass
 class LoadCommand:
-    """Load a fleet and measure it."""
+    """Generate load on a fleet and measure it."""
 
     command: cappa.Subcommands[Run | Experiment | Soak]
 
--- a/topazring/load/measure.py
+++ b/topazring/load/measure.py
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Run those named, or all."""
+    """Run the named experiments and slopes, or all with --all."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('names', nargs='*')
     parser.add_argument('--runs', type=int, default=12)
@@ -27,7 +27,7 @@
     names = list(known) if arguments.all else arguments.names
     unknown = [name for name in names if name not in known]
     if unknown or not names:
-        parser.error(f'want --all or some of: {", ".join(known)}')
+        parser.error(f'expected --all or some of: {", ".join(known)}')
     for name in names:
         rows = asyncio.run(known[name]())
         print(f'\n## {name}\n\n{experiments.render(rows)}\n', flush=True)
--- a/topazring/load/report.py
+++ b/topazring/load/report.py
@@ -1,4 +1,4 @@
-"""Sum up what a load has seen, as a table or as JSON."""
+"""Summarize the results of a load, as a table or as JSON."""
 
 import dataclasses
 
@@ -27,7 +27,11 @@
 def summarize(
     stats: generator.Stats, seconds: float, primary: str = ''
 ) -> Summary:
-    """Return the figures; `primary` tells replica reads from the others."""
+    """Return the summary of a load that ran for `seconds`.
+
+    Reads at `primary`, or at any upstream that acknowledged a write, do not
+    count as replica reads.
+    """
     done = sum(n for k, n in stats.outcomes.items() if k.endswith(' done'))
     reads = sum(stats.served_by.values())
     primaries = {name for _, name in stats.acknowledged} | {primary}
@@ -41,20 +45,20 @@
         {k: _percentiles(h) for k, h in sorted(stats.latency.items())},
         len(stats.violations),
         stats.roams,
-        round(_longest_gap(stats) * 1000, 1),
+        round(_longest_write_gap_s(stats) * 1000, 1),
     )
 
 
 def _percentiles(recorded) -> dict[str, float]:
-    found = {
+    latencies_ms = {
         f'p{p:g}': round(recorded.get_value_at_percentile(p) / 1000, 2)
         for p in PERCENTILES
     }
-    found['max'] = round(recorded.get_max_value() / 1000, 2)
-    return found
+    latencies_ms['max'] = round(recorded.get_max_value() / 1000, 2)
+    return latencies_ms
 
 
-def _longest_gap(stats: generator.Stats) -> float:
+def _longest_write_gap_s(stats: generator.Stats) -> float:
     times = sorted(at for at, _ in stats.acknowledged)
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     return max(gaps, default=0.0)
@@ -63,9 +67,10 @@
 def failover_outage_ms(
     stats: generator.Stats, lost_at: float, primary: str
 ) -> float | None:
-    """Return the time from the loss to the first write at a new primary.
+    """Return the milliseconds from the loss to the first write elsewhere.
 
-    None means that no write was acknowledged by another primary since.
+    That is the first write acknowledged by another primary; None if there
+    was none after `lost_at`.
     """
     later = [
         at
@@ -76,7 +81,7 @@
 
 
 def render(summary: Summary) -> str:
-    """Return the figures as a table."""
+    """Return the summary as a table."""
     lines = [
         f'answers            {summary.answers} in {summary.seconds:g} s',
         f'done a second      {summary.done_a_second}',
@@ -88,7 +93,7 @@
     ]
     for name, count in summary.outcomes.items():
         lines.append(f'  {name:32} {count:9}')
-    for kind, found in summary.latency_ms.items():
-        values = '  '.join(f'{k} {v}' for k, v in found.items())
+    for kind, latencies_ms in summary.latency_ms.items():
+        values = '  '.join(f'{k} {v}' for k, v in latencies_ms.items())
         lines.append(f'  {kind:32} ms: {values}')
     return '\n'.join(lines)
