--- a/topazring/load/experiments.py
+++ b/topazring/load/experiments.py
@@ -143,7 +143,7 @@
     return results
 
 
-async def _failover(size: str, runs: int) -> Rows:
+async def _measure_failovers(size: str, runs: int) -> Rows:
     rows = []
     for fault in FAULTS:
         for platform_down in (False, True):
@@ -194,13 +194,13 @@
 @experiment
 async def failover_ballinure(runs: int) -> Rows:
     """Failover gap at Ballinure's sizes: kill, freeze, cut."""
-    return await _failover('ballinure', runs)
+    return await _measure_failovers('ballinure', runs)
 
 
 @experiment
 async def failover_dizon(runs: int) -> Rows:
     """Failover gap at Dizon's sizes: kill, freeze, cut."""
-    return await _failover('dizon', runs)
+    return await _measure_failovers('dizon', runs)
 
 
 # ---- the replica read share ----------------------------------------------
@@ -244,15 +244,15 @@
         await fleet.close()
 
 
-async def _share(size: str) -> Rows:
+async def _measure_shares(size: str) -> Rows:
     cases = [(lags, policy) for lags in LAGS_MS for policy in POLICIES]
     found = []
     for start in range(0, len(cases), MAX_CONCURRENT_FLEETS):
-        some = cases[start : start + MAX_CONCURRENT_FLEETS]
+        batch = cases[start : start + MAX_CONCURRENT_FLEETS]
         found += await asyncio.gather(
             *(
                 measure_replica_share(size, lags, policy)
-                for lags, policy in some
+                for lags, policy in batch
             )
         )
     return [
@@ -283,13 +283,13 @@
 @experiment
 async def share_ballinure(runs: int) -> Rows:
     """Replica read share at Ballinure's sizes and mix, by lag."""
-    return await _share('ballinure')
+    return await _measure_shares('ballinure')
 
 
 @experiment
 async def share_dizon(runs: int) -> Rows:
     """Replica read share at Dizon's sizes and mix, by lag."""
-    return await _share('dizon')
+    return await _measure_shares('dizon')
 
 
 # ---- the cost of confirmation --------------------------------------------
@@ -353,7 +353,7 @@
             await load.start()
             stats = await load.run()
             await load.close()
-            retried = await _retries(fleet)
+            retried = await _count_retries(fleet)
         finally:
             await fleet.close()
         rows.append(_overload_row(factor, mix, stats, retried))
@@ -361,7 +361,7 @@
     return rows
 
 
-async def _retries(fleet: fleets.Fleet) -> int:
+async def _count_retries(fleet: fleets.Fleet) -> int:
     """Return how often owners retried a request at an upstream."""
     total = 0
     for number in range(fleet.plan.proxies):
@@ -377,8 +377,8 @@
     summary = report.summarize(stats, mix.seconds)
     counts = summary.outcomes
     refused = sum(n for k, n in counts.items() if 'not_run' in k)
-    done = summary.latency_ms.get('write', {})
-    refusals = summary.latency_ms.get('write not_run', {})
+    done_ms = summary.latency_ms.get('write', {})
+    refused_ms = summary.latency_ms.get('write not_run', {})
     return {
         'load': f'{factor}x',
         'asked a second': mix.rate,
@@ -386,10 +386,10 @@
         'refused': refused,
         'unknown': sum(n for k, n in counts.items() if 'unknown' in k),
         'retries': retried,
-        'done p50 ms': done.get('p50'),
-        'done p99 ms': done.get('p99'),
-        'refused p50 ms': refusals.get('p50', ''),
-        'refused p99 ms': refusals.get('p99', ''),
+        'done p50 ms': done_ms.get('p50'),
+        'done p99 ms': done_ms.get('p99'),
+        'refused p50 ms': refused_ms.get('p50', ''),
+        'refused p99 ms': refused_ms.get('p99', ''),
     }
 
 
@@ -445,9 +445,9 @@
     stats = await asyncio.gather(*(load.run() for load in loads))
     await asyncio.gather(*(load.close() for load in loads))
     ordinary = generator.Stats()
-    for one in stats[:ORDINARY_COUNT]:
-        ordinary.outcomes.update(one.outcomes)
-        for kind, recorded in one.latency.items():
+    for own_stats in stats[:ORDINARY_COUNT]:
+        ordinary.outcomes.update(own_stats.outcomes)
+        for kind, recorded in own_stats.latency.items():
             if kind in ordinary.latency:
                 ordinary.latency[kind].add(recorded)
             else:
@@ -460,14 +460,14 @@
 
 def _flood_row(flooding: bool, kind: str, stats: generator.Stats) -> dict:
     summary = report.summarize(stats, 8.0)
-    done = summary.latency_ms.get('write', {})
-    asked = sum(summary.outcomes.values())
-    ran = summary.outcomes.get('write done', 0)
+    done_ms = summary.latency_ms.get('write', {})
+    answered = sum(summary.outcomes.values())
+    done_count = summary.outcomes.get('write done', 0)
     return {
         'flood': 'yes' if flooding else 'no',
         'who': kind,
-        'asked': asked,
-        'done': f'{ran / asked:.2%}',
-        'done p50 ms': done.get('p50'),
-        'done p99 ms': done.get('p99'),
+        'asked': answered,
+        'done': f'{done_count / answered:.2%}',
+        'done p50 ms': done_ms.get('p50'),
+        'done p99 ms': done_ms.get('p99'),
     }
--- a/topazring/load/generator.py
+++ b/topazring/load/generator.py
@@ -263,7 +263,7 @@
             return
         self.stats.served_by[answer.served_by] += 1
         n = answer.rows[0][0] if answer.rows else 0
-        self._check(user, target, n, floor, min_fresh)
+        self._check_read(user, target, n, floor, min_fresh)
         user.seen[target.number] = max(user.seen.get(target.number, 0), n)
 
     def _acked_before(self, target: User, now: float) -> int:
@@ -277,7 +277,7 @@
                 return n
         return 0
 
-    def _check(
+    def _check_read(
         self, user: User, target: User, n: int, floor: int, min_fresh: int
     ) -> None:
         """Record a violation if a read returned too low a value."""
--- a/topazring/load/report.py
+++ b/topazring/load/report.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """Hold the figures of one load."""
+    """Hold the summary of one load, as printed with --json."""
 
     seconds: float
     answers: int
