--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -42,7 +42,7 @@
     """
 
     async def set_profile(self, fleet, name, expected=None, **values):
-        result = await changes.change(
+        result = await changes.change_value(
             fleet.platform, 'profile', name, profile(**values), expected
         )
         self.assertIsInstance(result, changes.Accepted)
@@ -100,7 +100,7 @@
             async def fault():
                 revision = stored.revision
                 for slots in (2, 4, 3):
-                    result = await changes.change(
+                    result = await changes.change_value(
                         fleet.platform,
                         'database',
                         'calc1',
@@ -131,7 +131,7 @@
             base = await self.set_profile(fleet, 'raced')
             results = await asyncio.gather(
                 *(
-                    changes.change(
+                    changes.change_value(
                         fleet.platform,
                         'profile',
                         'raced',
@@ -142,14 +142,14 @@
                 )
             )
             accepted = [f for f in results if isinstance(f, changes.Accepted)]
-            rejected = [f for f in results if isinstance(f, changes.Raced)]
+            rejected = [f for f in results if isinstance(f, changes.Conflict)]
             self.assertEqual((1, 2), (len(accepted), len(rejected)))
             stored = await changes.read_value(
                 fleet.platform, 'profile', 'raced'
             )
             for raced in rejected:
-                self.assertEqual(stored.value, raced.theirs)
-                self.assertNotEqual(stored.value, raced.ours)
+                self.assertEqual(stored.value, raced.current)
+                self.assertNotEqual(stored.value, raced.requested)
 
         self.run_on_fleet(steps)
 
@@ -168,7 +168,7 @@
             base = await self.set_profile(fleet, 'lossy')
             await fleet.set_link('p1/platform', backward='drop')
             change_task = asyncio.create_task(
-                changes.change(
+                changes.change_value(
                     lossy_client,
                     'profile',
                     'lossy',
