--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -147,9 +147,9 @@
             stored = await changes.read_value(
                 fleet.platform, 'profile', 'raced'
             )
-            for raced in rejected:
-                self.assertEqual(stored.value, raced.current)
-                self.assertNotEqual(stored.value, raced.requested)
+            for conflict in rejected:
+                self.assertEqual(stored.value, conflict.current)
+                self.assertNotEqual(stored.value, conflict.requested)
 
         self.run_on_fleet(steps)
 
