--- a/topazring/load/main.py
+++ b/topazring/load/main.py
@@ -166,7 +166,7 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
         tell = (lambda text: None) if self.quiet else print
-        return await soaks.play(stage, schedule, tell)
+        return await soaks.run_schedule(stage, schedule, tell)
 
 
 @cappa.command(name='topazring-load')
--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -11,9 +11,9 @@
 from topazring.platform.tests import soak_upstreams
 from topazring.platform.tests import support
 from topazring.soak import checks
+from topazring.soak import environment
+from topazring.soak import observations
 from topazring.soak import schedules
-from topazring.soak import sightings
-from topazring.soak import stages
 from topazring.standin import faults as link_faults
 from topazring.standin import settings as link_settings
 
@@ -37,9 +37,9 @@
     'loses answers for good': (Mode.PASS, Mode.DROP, 0.0, 'old'),
 }
 _DATABASES = [
-    stages.Database('exact', messages.Freshness.PRIMARY),
-    stages.Database('own', messages.Freshness.SESSION, 2500),
-    stages.Database('old', messages.Freshness.BOUNDED, 1500),
+    environment.Database('exact', messages.Freshness.PRIMARY),
+    environment.Database('own', messages.Freshness.SESSION, 2500),
+    environment.Database('old', messages.Freshness.BOUNDED, 1500),
 ]
 
 
@@ -73,7 +73,7 @@
                 if now_s - self.kept_s[lease] > ttl_ms / 1000:
                     await self.end_lease(lease)
 
-    def trouble(self, how: str, choice: float, ports: list[int]) -> None:
+    def disturb(self, how: str, choice: float, ports: list[int]) -> None:
         """Be in trouble; `well` ends it."""
         self.failure_code = 503 if how == 'down' else 0
         self.is_unresponsive = how == 'silent'
@@ -117,25 +117,25 @@
         while not said or not said[-1].startswith(ends):
             said.append(await self.lines.get())
             if not said[-1]:
-                raise stages.Ended(str(said))
+                raise environment.SessionEnded(str(said))
         self.waits = False
         return said
 
-    async def say(self, ask: sightings.Ask) -> sightings.Answer:
+    async def execute(self, ask: observations.Ask) -> observations.Answer:
         """Return the answer; raise Ended without one."""
         text = f'{ask.verb.upper()} {ask.item} {ask.data}'.rstrip()
         said = await self.ask(f'QUERY {ask.request_id} {text}', 'READY')
         rows = tuple(line[4:] for line in said if line.startswith('ROW '))
         word, _, rest = said[-2].partition(' ')
         if word == 'DONE':
-            return sightings.Answer(sightings.Kind.DONE, rest, rows)
+            return observations.Answer(observations.Kind.DONE, rest, rows)
         code = rest.partition(' ')[0]
-        kind = sightings.Kind.REJECTED
+        kind = observations.Kind.REJECTED
         if code in _PROMISES:
-            kind = sightings.Kind.NOT_RUN
+            kind = observations.Kind.NOT_RUN
         elif code in _UNKNOWN:
-            kind = sightings.Kind.UNKNOWN
-        return sightings.Answer(kind, rows=rows, detail=rest)
+            kind = observations.Kind.UNKNOWN
+        return observations.Answer(kind, rows=rows, detail=rest)
 
     def close(self) -> None:
         """Leave."""
@@ -164,7 +164,7 @@
         self.mend(name)
         await self.links.pop(name).close()
 
-    def trouble(self, name: str, how: str) -> None:
+    def disturb(self, name: str, how: str) -> None:
         """Put a link in trouble, if it is still there."""
         if name in self.links:
             self.links[name].set_modes(*_LINKS[how])
@@ -244,7 +244,7 @@
         """Return the files that the proxies log to."""
         return [proxy.log for proxy in self.instances]
 
-    def final_log(self) -> list[sightings.Entry]:
+    def final_log(self) -> list[observations.Entry]:
         """Return the log that leads."""
         return self.upstreams.group.primary().log
 
@@ -258,7 +258,7 @@
         if said.startswith('READY'):
             return talk
         talk.close()
-        raise stages.Ended(said)
+        raise environment.SessionEnded(said)
 
     async def _greet(
         self, instance: support.Proxy, database: str
@@ -274,7 +274,7 @@
         except OSError as error:
             if talk is not None:
                 talk.close()
-            raise stages.Ended('no greeting') from error
+            raise environment.SessionEnded('no greeting') from error
 
     async def _balance(self, proxy: support.Proxy) -> None:
         """Take a proxy in and out of rotation as the platform does."""
@@ -290,10 +290,10 @@
             elif misses >= MAX_FAILED_PROBES and proxy in self.rotation:
                 self.rotation.remove(proxy)
             code = proxy.process.returncode
-            if code is not None and code not in checks.ORDERLY:
-                now, note = stages.now_ms(), self.oracle.note
-                note(sightings.Exited(now, proxy.name, code))
-                note(sightings.Started(now, proxy.name))
+            if code is not None and code not in checks.ALLOWED_EXIT_CODES:
+                now, note = environment.now_ms(), self.oracle.note
+                note(observations.Exited(now, proxy.name, code))
+                note(observations.Started(now, proxy.name))
                 await proxy.restart()
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -326,7 +326,7 @@
             'limits': {'max-body-bytes': 4096, 'tx-idle-ms': 3000},
         }
         await self.store.put_json('op/config', value)
-        in_force = sightings.InForce(stages.now_ms(), self.version)
+        in_force = observations.InForce(environment.now_ms(), self.version)
         self.oracle.note(in_force)
 
     async def _probe_forever(self) -> None:
@@ -341,35 +341,35 @@
 
     async def _probe(self, proxy: support.Proxy, version: int) -> None:
         """Ask an instance for a database that only a version has."""
-        asked_ms, process = stages.now_ms(), proxy.process
+        asked_ms, process = environment.now_ms(), proxy.process
         try:
             talk, said = await self._greet(proxy, f'v{version}')
-        except stages.Ended:
+        except environment.SessionEnded:
             return
         talk.close()
         taken = said.startswith('READY')
         answered = taken or said.startswith('ERROR NODB')
         if answered and process is proxy.process:
-            now = stages.now_ms()
+            now = environment.now_ms()
             probed = (now, asked_ms, proxy.name, version, taken)
-            self.oracle.note(sightings.Probed(*probed))
+            self.oracle.note(observations.Probed(*probed))
 
     # ---- trouble ----
 
-    async def trouble(
+    async def disturb(
         self, part: str, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
         """Trouble upstreams, the store or a link, until that is over."""
         if part == 'service':
             doors = [proxy.store_port for proxy in self.instances]
-            self.store.trouble(how, choice, doors)
+            self.store.disturb(how, choice, doors)
             await asyncio.sleep(for_ms / 1000)
-            self.store.trouble('well', choice, doors)
+            self.store.disturb('well', choice, doors)
         elif part == 'links':
             names = sorted(self.links.links)
             name = names[int(choice * len(names))]
-            self.links.trouble(name, how)
+            self.links.disturb(name, how)
             await asyncio.sleep(for_ms / 1000)
             self.links.mend(name)
         else:
-            await self.upstreams.trouble(how, choice, for_ms, gap_ms)
+            await self.upstreams.disturb(how, choice, for_ms, gap_ms)
--- a/topazring/platform/tests/soak_upstreams.py
+++ b/topazring/platform/tests/soak_upstreams.py
@@ -6,8 +6,8 @@
 from topazring.bench import ports
 from topazring.platform.tests import support
 from topazring.platform.tests import synchronous_upstreams
-from topazring.soak import sightings
-from topazring.soak import stages
+from topazring.soak import environment
+from topazring.soak import observations
 
 UPSTREAMS = 3
 MAX_MEMBERS = 6
@@ -73,7 +73,7 @@
         """Take an order that the store has let pass."""
         order = self.store.orders[-1]
         fields = (name, order['holder'], order['token'])
-        self.note(sightings.Ordered(stages.now_ms(), *fields))
+        self.note(observations.Ordered(environment.now_ms(), *fields))
         return self.group.promote(service, name)
 
     def _listed(self, **where) -> list[Member]:
@@ -86,7 +86,7 @@
 
     # ---- trouble ----
 
-    async def trouble(
+    async def disturb(
         self, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
         """Have something befall the group, and wait until it is over."""
@@ -128,7 +128,7 @@
             return
         old.leaving = True
         await self._list(old)
-        self.note(sightings.Leaves(stages.now_ms(), old.name))
+        self.note(observations.Leaves(environment.now_ms(), old.name))
         await asyncio.sleep(DRAIN_S)
         async with asyncio.timeout(MAX_STAY_S):
             while (
@@ -189,7 +189,7 @@
         if any(each.is_down for each in self.group.members):
             return
         member.is_down = True
-        self.links.trouble(member.name, 'no way')
+        self.links.disturb(member.name, 'no way')
         await asyncio.sleep(for_ms / 1000)
         member.is_down = False
         self.links.mend(member.name)
@@ -212,6 +212,6 @@
     def _deafen(
         self, members: collections.abc.Iterable[Member], for_ms: int
     ) -> None:
-        until_ms = stages.now_ms() + for_ms
+        until_ms = environment.now_ms() + for_ms
         for member in members:
             member.deaf_until_ms = max(member.deaf_until_ms, until_ms)
--- a/topazring/platform/tests/synchronous_upstreams.py
+++ b/topazring/platform/tests/synchronous_upstreams.py
@@ -13,9 +13,9 @@
 
 from topazring.core.synchronous import statements
 from topazring.platform.tests import fake_upstreams
-from topazring.soak import sightings
+from topazring.soak import observations
 
-Entry = sightings.Entry
+Entry = observations.Entry
 Verb = statements.Verb
 
 # A replaced primary that could not reach its successor leads on for so long
@@ -89,7 +89,7 @@
         """Listen, and begin to replicate."""
         super().start()
         leader = self.members[0]
-        self.note(sightings.Led(now_ms(), leader.name, 1, leader.log))
+        self.note(observations.Led(now_ms(), leader.name, 1, leader.log))
         self.ticking = asyncio.create_task(self._tick())
 
     def close(self) -> None:
@@ -203,7 +203,7 @@
         """Commit; return once a replica has it, False if none will."""
         number = len(member.log) + 1
         entry = Entry(member.term, number, request_id, tuple(writes))
-        self.note(sightings.Committed(now_ms(), member.name, entry))
+        self.note(observations.Committed(now_ms(), member.name, entry))
         member.log.append(entry)
         member.applied = number
         for item, data in writes:
@@ -245,7 +245,7 @@
         if gone or member.is_down or member.role == 'primary':
             return
         self.term += 1
-        led = sightings.Led(now_ms(), member.name, self.term, member.log)
+        led = observations.Led(now_ms(), member.name, self.term, member.log)
         self.note(led)
         for other in self.members:
             if other is member:
@@ -357,7 +357,7 @@
     def _ran(
         self,
         session: fake_upstreams.Session,
-        ask: sightings.Ask,
+        ask: observations.Ask,
         rows: tuple[str, ...] = (),
         inside: bool | None = None,
     ) -> str:
@@ -367,7 +367,7 @@
         values = tuple(sorted(session.values.items()))
         member = self.member
         self.group.note(
-            sightings.Ran(
+            observations.Ran(
                 now_ms(),
                 member.name,
                 ask,
@@ -400,7 +400,7 @@
         written = [d for i, d in session.writes if i == rest[0]]
         data = written[-1] if written else data
         rows = () if data is None else (data,)
-        ask = sightings.Ask(request_id, Verb.READ, rest[0])
+        ask = observations.Ask(request_id, Verb.READ, rest[0])
         done = self._ran(session, ask, rows)
         return [*(f'ROW {row}' for row in rows), done]
 
@@ -415,7 +415,7 @@
         ):
             return self._refuse(session, 'READONLY')
         write = (rest[0], rest[1])
-        ask = sightings.Ask(request_id, Verb.WRITE, *write)
+        ask = observations.Ask(request_id, Verb.WRITE, *write)
         done = self._ran(session, ask)
         if inside:
             session.writes.append(write)
@@ -429,7 +429,7 @@
         writes = list(session.writes)
         if writes and self._has_lost_lead(session):
             return self._refuse(session, 'READONLY')
-        ask = sightings.Ask(request_id, Verb.COMMIT)
+        ask = observations.Ask(request_id, Verb.COMMIT)
         done = self._ran(session, ask)
         session.read_only = None
         session.writes.clear()
--- a/topazring/soak/checks.py
+++ b/topazring/soak/checks.py
@@ -11,13 +11,13 @@
 
 from topazring.core.synchronous import messages
 from topazring.soak import facts as soak_facts
-from topazring.soak import sightings
+from topazring.soak import observations
 
-__all__ = ['ORDERLY', 'Oracle', 'Violation', 'checks']
+__all__ = ['ALLOWED_EXIT_CODES', 'Oracle', 'Violation', 'checks_by_name']
 
 Facts = soak_facts.Facts
-Kind = sightings.Kind
-Verb = sightings.Verb
+Kind = observations.Kind
+Verb = observations.Verb
 Found = collections.abc.Iterator[str]
 Check = collections.abc.Callable[[Facts, object], Found]
 
@@ -26,16 +26,16 @@
 STABILITY_MS = 4000
 DRAIN_MS = 7000
 APPLY_MS = 3000
-BACK_MS = 250
+VERSION_OVERLAP_MS = 250
 # A request may cross the end of its session on the way.
-CROSSING_MS = 200
+SESSION_END_CROSSING_MS = 200
 # The time of a process that is busy, beside the promises' own.
 SLACK_MS = 300
 # Past the longest time limit of a request, a stop's grace and a freeze.
-UNANSWERED_MS = 12_000
+ANSWER_LIMIT_MS = 12_000
 
 # Stopped, killed, or told to stop before it could take note.
-ORDERLY = (0, -signal.SIGKILL, -signal.SIGTERM)
+ALLOWED_EXIT_CODES = (0, -signal.SIGKILL, -signal.SIGTERM)
 
 _checks: dict[type, list[Check]] = collections.defaultdict(list)
 
@@ -60,7 +60,7 @@
     return register
 
 
-def checks() -> dict[str, Check]:
+def checks_by_name() -> dict[str, Check]:
     """Return all checks by name."""
     return {f.__name__: f for found in _checks.values() for f in found}
 
@@ -84,7 +84,7 @@
                         _request_of(sighting),
                     )
                 )
-        soak_facts.take(self.facts, sighting)
+        soak_facts.record(self.facts, sighting)
 
 
 def _request_of(sighting: object) -> str:
@@ -100,16 +100,16 @@
 # ---- what runs ----
 
 
-@check(sightings.Ran)
-def only_what_was_asked(facts: Facts, ran: sightings.Ran) -> Found:
+@check(observations.Ran)
+def only_what_was_asked(facts: Facts, ran: observations.Ran) -> Found:
     """An upstream runs what a caller sent, unchanged."""
     request = facts.requests.get(ran.ask.request_id)
     if request is None or request.asked.ask != ran.ask:
         yield f'{ran.upstream} ran {ran.ask}, which nobody sent'
 
 
-@check(sightings.Ran)
-def session_holds_together(facts: Facts, ran: sightings.Ran) -> Found:
+@check(observations.Ran)
+def session_holds_together(facts: Facts, ran: observations.Ran) -> Found:
     """A statement runs with its session's values, in its transaction."""
     request = facts.requests.get(ran.ask.request_id)
     if request is None:
@@ -120,45 +120,45 @@
         yield 'in or out of a transaction, unlike its caller'
 
 
-@check(sightings.Committed)
-def at_most_once(facts: Facts, committed: sightings.Committed) -> Found:
+@check(observations.Committed)
+def at_most_once(facts: Facts, committed: observations.Committed) -> Found:
     """A write takes effect once."""
     entry = committed.entry
     earlier = facts.commits.get(entry.request_id, ())
-    if any(soak_facts.holds(facts.leading_log, each) for each in earlier):
+    if any(soak_facts.contains(facts.leading_log, each) for each in earlier):
         yield f'{committed.upstream} committed it again'
 
 
-@check(sightings.Committed)
+@check(observations.Committed)
 def not_after_its_refusal(
-    facts: Facts, committed: sightings.Committed
+    facts: Facts, committed: observations.Committed
 ) -> Found:
     """Nothing is kept of what a caller was told did not run."""
-    if committed.entry.request_id in facts.denied:
+    if committed.entry.request_id in facts.not_run_ids:
         yield f'{committed.upstream} committed it after its refusal'
 
 
 # ---- what callers are told ----
 
 
-@check(sightings.Answered)
-def one_final_answer(facts: Facts, answered: sightings.Answered) -> Found:
+@check(observations.Answered)
+def one_final_answer(facts: Facts, answered: observations.Answered) -> Found:
     """A request has one final answer."""
     request = facts.requests.get(answered.request_id)
     if request is None:
         yield 'an answer to nothing'
-    elif request.is_over:
+    elif request.is_finished:
         yield 'a second answer'
 
 
-@check(sightings.Unasked)
-def nothing_unasked(facts: Facts, unasked: sightings.Unasked) -> Found:
+@check(observations.Unasked)
+def nothing_unasked(facts: Facts, unasked: observations.Unasked) -> Found:
     """Nobody is told anything without asking."""
     yield f'{unasked.instance} said {unasked.text!r} to {unasked.session}'
 
 
-@check(sightings.Answered)
-def answer_is_its_own(facts: Facts, answered: sightings.Answered) -> Found:
+@check(observations.Answered)
+def answer_is_its_own(facts: Facts, answered: observations.Answered) -> Found:
     """A success bears the upstream's signature and its rows."""
     request = facts.requests.get(answered.request_id)
     answer = answered.answer
@@ -173,8 +173,8 @@
         yield f'rows {answer.rows}, where its run had {run[0]}'
 
 
-@check(sightings.Answered)
-def fresh_enough(facts: Facts, answered: sightings.Answered) -> Found:
+@check(observations.Answered)
+def fresh_enough(facts: Facts, answered: observations.Answered) -> Found:
     """A read sees its session's work, and is not too old."""
     request = facts.requests.get(answered.request_id)
     answer = answered.answer
@@ -184,7 +184,7 @@
     if request.asked.ask.verb is Verb.READ and run is not None and not run[1]:
         kind = request.asked.freshness
         lacks = request.must_see
-        if not soak_facts.holds(facts.leading_log, lacks):
+        if not soak_facts.contains(facts.leading_log, lacks):
             # A promotion has cut it off, which is told as such.
             return
         what = 'bounded' if kind is messages.Freshness.BOUNDED else kind
@@ -194,42 +194,42 @@
         )
 
 
-@check(sightings.Answered)
-def refusals_hold(facts: Facts, answered: sightings.Answered) -> Found:
+@check(observations.Answered)
+def refusals_hold(facts: Facts, answered: observations.Answered) -> Found:
     """What was refused as not run is not kept already."""
     if answered.answer.kind is not Kind.NOT_RUN:
         return
     for entry in facts.commits.get(answered.request_id, ()):
-        if soak_facts.holds(facts.leading_log, entry):
+        if soak_facts.contains(facts.leading_log, entry):
             yield f'refused ({answered.answer.detail}), yet it is kept'
 
 
 # ---- what is kept ----
 
 
-@check(sightings.Answered)
+@check(observations.Answered)
 def acknowledged_by_its_leader(
-    facts: Facts, answered: sightings.Answered
+    facts: Facts, answered: observations.Answered
 ) -> Found:
     """What is acknowledged is in the log of whoever leads by then."""
     entries = facts.commits.get(answered.request_id)
     if answered.answer.kind is not Kind.DONE or not entries:
         return
     entry = entries[-1]
-    if not soak_facts.holds(facts.leading_log, entry):
+    if not soak_facts.contains(facts.leading_log, entry):
         yield (
             f'acknowledged at {entry.term}.{entry.position}, which '
             f'{facts.leader} lacks that leads'
         )
 
 
-@check(sightings.Led)
-def survives_a_promotion(facts: Facts, led: sightings.Led) -> Found:
+@check(observations.Led)
+def survives_a_promotion(facts: Facts, led: observations.Led) -> Found:
     """Whoever is promoted holds all that was acknowledged."""
     lost = [
         f'{entry.term}.{entry.position} {request_id}'
         for request_id, entry in facts.acked.items()
-        if not soak_facts.holds(led.log, entry)
+        if not soak_facts.contains(led.log, entry)
     ]
     if lost:
         yield (
@@ -238,10 +238,10 @@
         )
 
 
-@check(sightings.Ordered)
-def one_holder(facts: Facts, ordered: sightings.Ordered) -> Found:
+@check(observations.Ordered)
+def one_holder(facts: Facts, ordered: observations.Ordered) -> Found:
     """Only one holder of the duty uses a token."""
-    holder = facts.tokens.get(ordered.token, ordered.holder)
+    holder = facts.token_holders.get(ordered.token, ordered.holder)
     if holder != ordered.holder:
         yield f'{ordered.holder} and {holder} both used {ordered.token}'
 
@@ -249,26 +249,26 @@
 # ---- what has a time ----
 
 
-@check(sightings.Ran)
-def no_work_after_drain(facts: Facts, ran: sightings.Ran) -> Found:
+@check(observations.Ran)
+def no_work_after_drain(facts: Facts, ran: observations.Ran) -> Found:
     """One that drains gets no new work once its time is over."""
-    leaving_ms = facts.leaving_ms.get(ran.upstream)
+    leaving_ms = facts.drain_start_ms.get(ran.upstream)
     request = facts.requests.get(ran.ask.request_id)
     if leaving_ms is None or request is None or request.asked.transaction:
         return
     late_ms = ran.at_ms - leaving_ms - DRAIN_MS
     # Acknowledged in calm, and calm since the request was taken.
-    calm = facts.is_calm(
+    calm = facts.is_undisturbed(
         leaving_ms - STABILITY_MS, leaving_ms, planned=False
-    ) and facts.is_calm(
+    ) and facts.is_undisturbed(
         request.asked.at_ms - STABILITY_MS, ran.at_ms, planned=False
     )
     if late_ms > 0 and calm:
         yield f'{ran.upstream} got work {late_ms:.0f} ms after its drain'
 
 
-@check(sightings.Probed)
-def configuration_in_force(facts: Facts, probed: sightings.Probed) -> Found:
+@check(observations.Probed)
+def configuration_in_force(facts: Facts, probed: observations.Probed) -> Found:
     """A version is in force in time, and what it dropped is gone."""
     if not facts.versions:
         return
@@ -277,7 +277,7 @@
         return
     places = (probed.instance, 'service', 'links')
     since_ms = probed.asked_ms - STABILITY_MS
-    if not facts.is_calm(since_ms, probed.at_ms, *places):
+    if not facts.is_undisturbed(since_ms, probed.at_ms, *places):
         return
     if probed.taken != (probed.version == now.version):
         yield (
@@ -287,76 +287,78 @@
         )
 
 
-@check(sightings.Probed)
-def configuration_never_back(facts: Facts, probed: sightings.Probed) -> Found:
+@check(observations.Probed)
+def configuration_never_back(
+    facts: Facts, probed: observations.Probed
+) -> Found:
     """One process never goes back behind a version that it showed."""
-    version, shown_ms = facts.shown.get(probed.instance, (0, 0.0))
-    late = probed.asked_ms > shown_ms + BACK_MS
+    version, shown_ms = facts.shown_versions.get(probed.instance, (0, 0.0))
+    late = probed.asked_ms > shown_ms + VERSION_OVERLAP_MS
     if probed.taken and probed.version < version and late:
         yield f'{probed.instance} is back at {probed.version} from {version}'
 
 
-@check(sightings.Cut)
-def planned_work_cuts_nothing(facts: Facts, cut: sightings.Cut) -> Found:
+@check(observations.Cut)
+def planned_work_cuts_nothing(facts: Facts, cut: observations.Cut) -> Found:
     """No request is cut around planned work alone."""
     request = facts.requests[cut.request_id]
     asked_ms = request.asked.at_ms
-    if cut.at_ms - asked_ms < CROSSING_MS and not request.runs:
+    if cut.at_ms - asked_ms < SESSION_END_CROSSING_MS and not request.runs:
         return
     instance = request.asked.instance
     since_ms = asked_ms - STABILITY_MS
-    if not facts.is_calm(since_ms, cut.at_ms, planned=False):
+    if not facts.is_undisturbed(since_ms, cut.at_ms, planned=False):
         return
-    if facts.is_calm(asked_ms, cut.at_ms, instance):
+    if facts.is_undisturbed(asked_ms, cut.at_ms, instance):
         yield f'{instance} ended a session without an answer, in calm'
     else:
         yield f'{instance} cut it while planned work went on'
 
 
-@check(sightings.Exited)
-def no_end_by_itself(facts: Facts, exited: sightings.Exited) -> Found:
+@check(observations.Exited)
+def no_end_by_itself(facts: Facts, exited: observations.Exited) -> Found:
     """A process ends only when it is told or killed."""
-    if exited.code not in ORDERLY:
+    if exited.code not in ALLOWED_EXIT_CODES:
         yield f'{exited.instance} ended by itself with {exited.code}'
 
 
 # ---- the end ----
 
 
-@check(sightings.Finished)
-def all_is_answered(facts: Facts, finished: sightings.Finished) -> Found:
+@check(observations.Finished)
+def all_is_answered(facts: Facts, finished: observations.Finished) -> Found:
     """Every request has come to an end."""
     left = [
         f'{request_id} ({request.asked.ask.verb}) at '
         f'{request.asked.instance}, asked '
         f'{finished.at_ms - request.asked.at_ms:.0f} ms before the end'
         for request_id, request in facts.requests.items()
-        if not request.is_over
-        and finished.at_ms - request.asked.at_ms > UNANSWERED_MS
+        if not request.is_finished
+        and finished.at_ms - request.asked.at_ms > ANSWER_LIMIT_MS
     ]
     if left:
         yield f'never answered: {", ".join(left[:6])}'
 
 
-@check(sightings.Finished)
-def serves_again(facts: Facts, finished: sightings.Finished) -> Found:
+@check(observations.Finished)
+def serves_again(facts: Facts, finished: observations.Finished) -> Found:
     """Writes succeed once all trouble is over."""
     if not finished.serves:
         yield 'no write succeeds though all trouble is over'
 
 
-@check(sightings.Finished)
-def all_is_kept(facts: Facts, finished: sightings.Finished) -> Found:
+@check(observations.Finished)
+def all_is_kept(facts: Facts, finished: observations.Finished) -> Found:
     """The last log has what was acknowledged, once, and no refused write."""
     lost = [
         request_id
         for request_id, entry in facts.acked.items()
-        if not soak_facts.holds(finished.log, entry)
+        if not soak_facts.contains(finished.log, entry)
     ]
     if lost:
         yield f'{len(lost)} acknowledged are lost: {", ".join(lost[:6])}'
     kept = collections.Counter(entry.request_id for entry in finished.log)
-    refused = [each for each in kept if each in facts.denied]
+    refused = [each for each in kept if each in facts.not_run_ids]
     if refused:
         yield f'kept though refused: {", ".join(refused[:6])}'
     twice = [each for each, count in kept.items() if each and count > 1]
--- a/topazring/soak/stages.py
+++ b/topazring/soak/environment.py
@@ -6,9 +6,9 @@
 
 from topazring.core.synchronous import messages
 from topazring.soak import checks
-from topazring.soak import sightings
+from topazring.soak import observations
 
-__all__ = ['Database', 'Ended', 'Stage', 'now_ms']
+__all__ = ['Database', 'SessionEnded', 'Environment', 'now_ms']
 
 
 def now_ms() -> float:
@@ -16,7 +16,7 @@
     return time.monotonic() * 1000
 
 
-class Ended(ConnectionError):
+class SessionEnded(ConnectionError):
     """Say that a session ended, or did not start."""
 
 
@@ -29,7 +29,7 @@
     max_staleness_ms: int = 0
 
 
-class Stage(typing.Protocol):
+class Environment(typing.Protocol):
     """Own the processes, upstreams, service and links of a soak.
 
     An instance has a `name`, a `process`, and `restart`, which starts it
@@ -60,10 +60,10 @@
     def rewrite_settings(self, instance) -> None:
         """Write an instance's settings anew."""
 
-    async def trouble(
+    async def disturb(
         self, part: str, how: str, choice: float, for_ms: int, gap_ms: int
     ) -> None:
         """Trouble upstreams, the service or a link, until that is over."""
 
-    def final_log(self) -> list[sightings.Entry]:
+    def final_log(self) -> list[observations.Entry]:
         """Return the log that leads."""
--- a/topazring/soak/faults.py
+++ b/topazring/soak/faults.py
@@ -13,17 +13,17 @@
 import typing
 import weakref
 
-from topazring.soak import sightings
-from topazring.soak import stages
+from topazring.soak import environment
+from topazring.soak import observations
 
-__all__ = ['Fault', 'Step', 'cause', 'families', 'known']
+__all__ = ['Fault', 'Step', 'inject', 'families', 'faults_by_name']
 
 # A process that was told to stop is ended past its grace and this.
-PAST_GRACE_S = 1.0
+KILL_DELAY_S = 1.0
 # One that starts takes about so long.
-START_MS = 1500
+START_DURATION_MS = 1500
 # What troubles have done is over a moment after them.
-AFTER_MS = 2000
+AFTEREFFECT_MS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
 
 
 Instance = typing.Any
-Cause = collections.abc.Callable[
-    [stages.Stage, Step], collections.abc.Awaitable[None]
+Injector = collections.abc.Callable[
+    [environment.Environment, Step], collections.abc.Awaitable[None]
 ]
 
 
@@ -52,7 +52,7 @@
     name: str
     family: str
     weight: int
-    cause: Cause
+    inject: Injector
 
 
 _faults: dict[str, Fault] = {}
@@ -62,10 +62,10 @@
 
 def fault(
     family: str, weight: int = 2
-) -> collections.abc.Callable[[Cause], Cause]:
+) -> collections.abc.Callable[[Injector], Injector]:
     """Register a fault under its function's name."""
 
-    def register(function: Cause) -> Cause:
+    def register(function: Injector) -> Injector:
         name = function.__name__
         _faults[name] = Fault(name, family, weight, function)
         return function
@@ -73,7 +73,7 @@
     return register
 
 
-def known() -> dict[str, Fault]:
+def faults_by_name() -> dict[str, Fault]:
     """Return all faults by name."""
     return dict(_faults)
 
@@ -83,21 +83,26 @@
     return list(dict.fromkeys(f.family for f in _faults.values()))
 
 
-async def cause(stage: stages.Stage, step: Step) -> None:
+async def inject(stage: environment.Environment, step: Step) -> None:
     """Cause a fault and wait for its end."""
     await _faults[step.fault].cause(stage, step)
 
 
-def _pick(stage: stages.Stage, choice: float) -> Instance:
+def _pick(stage: environment.Environment, choice: float) -> Instance:
     found = stage.instances
     return found[int(choice * len(found)) % len(found)]
 
 
 def _trouble(
-    stage: stages.Stage, where: str, for_ms: float, planned: bool = False
+    stage: environment.Environment,
+    where: str,
+    for_ms: float,
+    planned: bool = False,
 ) -> None:
-    now = stages.now_ms()
-    stage.oracle.note(sightings.Disturbed(now, now + for_ms, where, planned))
+    now = environment.now_ms()
+    stage.oracle.note(
+        observations.Disturbed(now, now + for_ms, where, planned)
+    )
 
 
 def _runs(instance: Instance) -> bool:
@@ -116,39 +121,39 @@
     _signal(instance, signal.SIGTERM)
 
 
-async def _restart(stage: stages.Stage, instance: Instance) -> None:
+async def _restart(stage: environment.Environment, instance: Instance) -> None:
     if not _runs(instance):
-        started = sightings.Started(stages.now_ms(), instance.name)
+        started = observations.Started(environment.now_ms(), instance.name)
         stage.oracle.note(started)
         await instance.restart()
 
 
 async def _stop(
-    stage: stages.Stage, instance: Instance, pause_ms: float
+    stage: environment.Environment, instance: Instance, pause_ms: float
 ) -> None:
     """Stop an instance in its grace, then start it again."""
     process = instance.process
     # Told twice, a process ends at once, which no platform asks for.
     if not _runs(instance) or process in _told:
         return
-    grace_ms = (stage.grace_s + PAST_GRACE_S) * 1000
+    grace_ms = (stage.grace_s + KILL_DELAY_S) * 1000
     _trouble(stage, instance.name, grace_ms, planned=True)
     _tell_to_stop(instance)
     try:
-        async with asyncio.timeout(stage.grace_s + PAST_GRACE_S):
+        async with asyncio.timeout(stage.grace_s + KILL_DELAY_S):
             await process.wait()
     except TimeoutError:
         if instance.process is process:
-            _trouble(stage, instance.name, START_MS)
+            _trouble(stage, instance.name, START_DURATION_MS)
             _signal(instance, signal.SIGKILL)
             await process.wait()
     await asyncio.sleep(pause_ms / 1000)
-    _trouble(stage, instance.name, START_MS, planned=True)
+    _trouble(stage, instance.name, START_DURATION_MS, planned=True)
     await _restart(stage, instance)
 
 
 async def _freeze(
-    stage: stages.Stage, instance: Instance, for_ms: float
+    stage: environment.Environment, instance: Instance, for_ms: float
 ) -> None:
     _trouble(stage, instance.name, for_ms + 200)
     process = instance.process
@@ -159,9 +164,9 @@
 
 
 async def _kill(
-    stage: stages.Stage, instance: Instance, for_ms: float
+    stage: environment.Environment, instance: Instance, for_ms: float
 ) -> None:
-    _trouble(stage, instance.name, for_ms + START_MS)
+    _trouble(stage, instance.name, for_ms + START_DURATION_MS)
     if _runs(instance):
         _signal(instance, signal.SIGKILL)
         await instance.process.wait()
@@ -173,13 +178,13 @@
 
 
 @fault('planned')
-async def stop(stage: stages.Stage, step: Step) -> None:
+async def stop(stage: environment.Environment, step: Step) -> None:
     """Stop one instance and start it again."""
     await _stop(stage, _pick(stage, step.choice), step.gap_ms)
 
 
 @fault('planned', weight=1)
-async def roll(stage: stages.Stage, step: Step) -> None:
+async def roll(stage: environment.Environment, step: Step) -> None:
     """Stop all instances, one after the other or overlapping."""
     stopping = []
     for instance in stage.instances:
@@ -189,7 +194,7 @@
 
 
 @fault('planned')
-async def reload(stage: stages.Stage, step: Step) -> None:
+async def reload(stage: environment.Environment, step: Step) -> None:
     """Change settings and tell the instance, twice in a row at times."""
     instance = _pick(stage, step.choice)
     for _ in range(1 + int(step.choice * 10) % 2):
@@ -199,7 +204,7 @@
 
 
 @fault('planned', weight=3)
-async def configure(stage: stages.Stage, step: Step) -> None:
+async def configure(stage: environment.Environment, step: Step) -> None:
     """Have the operator write a version, or several in a row."""
     for _ in range(1 + int(step.choice * 10) % 3):
         await stage.configure()
@@ -210,19 +215,19 @@
 
 
 @fault('signals')
-async def freeze(stage: stages.Stage, step: Step) -> None:
+async def freeze(stage: environment.Environment, step: Step) -> None:
     """Stop an instance without ending it, then let it go on."""
     await _freeze(stage, _pick(stage, step.choice), step.for_ms)
 
 
 @fault('signals')
-async def kill(stage: stages.Stage, step: Step) -> None:
+async def kill(stage: environment.Environment, step: Step) -> None:
     """Kill an instance and start it again."""
     await _kill(stage, _pick(stage, step.choice), step.gap_ms)
 
 
 @fault('signals', weight=1)
-async def kill_all(stage: stages.Stage, step: Step) -> None:
+async def kill_all(stage: environment.Environment, step: Step) -> None:
     """Kill all instances at once."""
     await asyncio.gather(
         *(_kill(stage, each, step.gap_ms) for each in stage.instances)
@@ -230,17 +235,21 @@
 
 
 @fault('signals', weight=1)
-async def kill_in_its_grace(stage: stages.Stage, step: Step) -> None:
+async def kill_in_its_grace(
+    stage: environment.Environment, step: Step
+) -> None:
     """Tell an instance to stop, and kill it before it has."""
     instance = _pick(stage, step.choice)
     _tell_to_stop(instance)
-    _trouble(stage, instance.name, step.gap_ms + START_MS)
+    _trouble(stage, instance.name, step.gap_ms + START_DURATION_MS)
     await asyncio.sleep(step.gap_ms / 1000)
     await _kill(stage, instance, 100)
 
 
 @fault('signals', weight=1)
-async def freeze_in_its_grace(stage: stages.Stage, step: Step) -> None:
+async def freeze_in_its_grace(
+    stage: environment.Environment, step: Step
+) -> None:
     """Tell an instance to stop while it is frozen, and to reload."""
     instance = _pick(stage, step.choice)
     freezing = asyncio.create_task(_freeze(stage, instance, step.for_ms))
@@ -250,7 +259,7 @@
 
 
 @fault('signals', weight=1)
-async def freeze_in_turn(stage: stages.Stage, step: Step) -> None:
+async def freeze_in_turn(stage: environment.Environment, step: Step) -> None:
     """Freeze all instances, each before the last one goes on."""
     freezing = []
     for instance in stage.instances:
@@ -292,12 +301,12 @@
 
 
 async def _around(
-    family: str, how: str, stage: stages.Stage, step: Step
+    family: str, how: str, stage: environment.Environment, step: Step
 ) -> None:
     if family != 'releases' or how == 'release beside deaf':
-        _trouble(stage, family, step.for_ms + step.gap_ms + AFTER_MS)
+        _trouble(stage, family, step.for_ms + step.gap_ms + AFTEREFFECT_MS)
     choice, for_ms, gap_ms = step.choice, step.for_ms, step.gap_ms
-    await stage.trouble(family, how, choice, for_ms, gap_ms)
+    await stage.disturb(family, how, choice, for_ms, gap_ms)
 
 
 for _family, _hows in _AROUND.items():
--- a/topazring/soak/sightings.py
+++ b/topazring/soak/observations.py
@@ -11,7 +11,7 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 
-__all__ = ['Answer', 'Ask', 'Entry', 'Kind', 'Sighting']
+__all__ = ['Answer', 'Ask', 'Entry', 'Kind', 'Observation']
 
 Verb = statements.Verb
 Freshness = messages.Freshness
@@ -58,13 +58,13 @@
     writes: tuple[tuple[str, str], ...] = ()
 
 
-class Sighting(msgspec.Struct, frozen=True):
+class Observation(msgspec.Struct, frozen=True):
     """Report something that was seen at a moment."""
 
     at_ms: float
 
 
-class Asked(Sighting):
+class Asked(Observation):
     """Report that a caller sends a statement."""
 
     ask: Ask
@@ -77,7 +77,7 @@
     values: tuple[tuple[str, str], ...] = ()
 
 
-class Ran(Sighting):
+class Ran(Observation):
     """Report that an upstream ran a statement."""
 
     upstream: str
@@ -91,27 +91,27 @@
     values: tuple[tuple[str, str], ...] = ()
 
 
-class Committed(Sighting):
+class Committed(Observation):
     """Report that a primary added a commit to its log."""
 
     upstream: str
     entry: Entry
 
 
-class Answered(Sighting):
+class Answered(Observation):
     """Report a final answer as its caller got it."""
 
     request_id: str
     answer: Answer
 
 
-class Cut(Sighting):
+class Cut(Observation):
     """Report that a connection ended without an answer."""
 
     request_id: str
 
 
-class Unasked(Sighting):
+class Unasked(Observation):
     """Report that a caller was told something while it had asked nothing."""
 
     session: str
@@ -119,7 +119,7 @@
     text: str
 
 
-class Ordered(Sighting):
+class Ordered(Observation):
     """Report an order to promote."""
 
     upstream: str
@@ -127,7 +127,7 @@
     token: int
 
 
-class Led(Sighting):
+class Led(Observation):
     """Report that an upstream begins to lead with what it has received."""
 
     upstream: str
@@ -135,19 +135,19 @@
     log: list[Entry]
 
 
-class Leaves(Sighting):
+class Leaves(Observation):
     """Report that the platform's service accepted that an upstream drains."""
 
     upstream: str
 
 
-class InForce(Sighting):
+class InForce(Observation):
     """Report that the platform's service accepted a configuration."""
 
     version: int
 
 
-class Probed(Sighting):
+class Probed(Observation):
     """Report whether an instance takes a session on a version's database."""
 
     asked_ms: float
@@ -156,20 +156,20 @@
     taken: bool
 
 
-class Started(Sighting):
+class Started(Observation):
     """Report that an instance's process starts."""
 
     instance: str
 
 
-class Exited(Sighting):
+class Exited(Observation):
     """Report that an instance's process has ended."""
 
     instance: str
     code: int
 
 
-class Disturbed(Sighting):
+class Disturbed(Observation):
     """Report trouble from now to some time."""
 
     to_ms: float
@@ -179,7 +179,7 @@
     planned: bool = False
 
 
-class Finished(Sighting):
+class Finished(Observation):
     """Report the log that leads in the end."""
 
     log: list[Entry]
--- a/topazring/soak/report.py
+++ b/topazring/soak/report.py
@@ -7,7 +7,7 @@
 
 __all__ = ['render']
 
-MOST_SHOWN = 20
+MAX_SHOWN = 20
 
 
 def render(outcome: soaks.Outcome, logs: list[pathlib.Path]) -> str:
@@ -24,9 +24,9 @@
         '  ' + ', '.join(f'{name} {counts[name]}' for name in sorted(kept)),
     ]
     lines += [f'  not caused: {text}' for text in outcome.failed]
-    for violation in outcome.violations[:MOST_SHOWN]:
+    for violation in outcome.violations[:MAX_SHOWN]:
         lines += _render_violation(outcome, violation, logs)
-    more = len(outcome.violations) - MOST_SHOWN
+    more = len(outcome.violations) - MAX_SHOWN
     if more > 0:
         lines.append(f'  and {more} more')
     return '\n'.join(lines)
--- a/topazring/soak/schedules.py
+++ b/topazring/soak/schedules.py
@@ -8,14 +8,14 @@
 __all__ = ['Schedule', 'draw']
 
 # Nothing happens at first, and at the end there is time to recover.
-FIRST_MS = 1500
-QUIET_MS = 6000
-FOR_MS = (150, 400, 900, 1600, 2500, 4000)
+FIRST_FAULT_MS = 1500
+FINAL_QUIET_MS = 6000
+DURATIONS_MS = (150, 400, 900, 1600, 2500, 4000)
 GAPS_MS = (20, 100, 300, 700, 1200)
-MEANS_MS = (400, 800, 1500, 3000)
+MEAN_INTERVALS_MS = (400, 800, 1500, 3000)
 # Promotions take some hundred ms, on some days up to a second.
-PROMOTE_MS = (120, 300, 1000)
-CALLERS = (3, 8, 16)
+PROMOTION_DURATIONS_MS = (120, 300, 1000)
+CALLER_COUNTS = (3, 8, 16)
 REST_SCALES = (1.0, 1.0, 5.0, 20.0)
 
 
@@ -47,17 +47,17 @@
     every = faults.families()
     drawn = rng.sample(every, rng.randint(1, len(every)))
     chosen = tuple(sorted(families or drawn))
-    known = [f for f in faults.known().values() if f.family in chosen]
+    known = [f for f in faults.faults_by_name().values() if f.family in chosen]
     weights = [f.weight for f in known]
-    mean_ms = rng.choice(MEANS_MS)
+    mean_ms = rng.choice(MEAN_INTERVALS_MS)
     steps = []
-    at_ms = FIRST_MS
-    while at_ms < seconds * 1000 - QUIET_MS:
+    at_ms = FIRST_FAULT_MS
+    while at_ms < seconds * 1000 - FINAL_QUIET_MS:
         step = faults.Step(
             int(at_ms),
             rng.choices(known, weights)[0].name,
             rng.random(),
-            rng.choice(FOR_MS),
+            rng.choice(DURATIONS_MS),
             rng.choice(GAPS_MS),
         )
         steps.append(step)
@@ -66,8 +66,8 @@
         seed,
         seconds,
         chosen,
-        rng.choice(PROMOTE_MS),
-        rng.choice(CALLERS),
+        rng.choice(PROMOTION_DURATIONS_MS),
+        rng.choice(CALLER_COUNTS),
         rng.choice(REST_SCALES),
         tuple(steps),
     )
--- a/topazring/soak/soaks.py
+++ b/topazring/soak/soaks.py
@@ -6,14 +6,14 @@
 
 from topazring.soak import callers
 from topazring.soak import checks
+from topazring.soak import environment
 from topazring.soak import faults
+from topazring.soak import observations
 from topazring.soak import schedules
-from topazring.soak import sightings
-from topazring.soak import stages
 
-__all__ = ['Outcome', 'play']
+__all__ = ['Outcome', 'run_schedule']
 
-CALM_S = (checks.STABILITY_MS + faults.AFTER_MS + 500) / 1000
+STABILIZATION_S = (checks.STABILITY_MS + faults.AFTEREFFECT_MS + 500) / 1000
 # Once all trouble is over, writes succeed within that time.
 RECOVERY_S = 12.0
 POLL_S = 0.1
@@ -32,8 +32,8 @@
     failed: list[str]
 
 
-async def play(
-    stage: stages.Stage,
+async def run_schedule(
+    stage: environment.Environment,
     schedule: schedules.Schedule,
     tell: collections.abc.Callable[[str], None] = lambda text: None,
 ) -> Outcome:
@@ -42,7 +42,7 @@
     background: set[asyncio.Task] = set()
     try:
         await stage.start()
-        began_ms = stages.now_ms()
+        began_ms = environment.now_ms()
         calling = [
             callers.Caller(stage, number, schedule)
             for number in range(schedule.callers)
@@ -57,12 +57,12 @@
         if background:
             await asyncio.wait(background)
             # Promises that hold with a time hold again by then.
-            await asyncio.sleep(CALM_S)
+            await asyncio.sleep(STABILIZATION_S)
         await _until(began_ms + schedule.seconds * 1000)
         serves = await _recovers(stage)
         await asyncio.gather(*(caller.close() for caller in calling))
-        finished = sightings.Finished(
-            stages.now_ms(), stage.final_log(), serves
+        finished = observations.Finished(
+            environment.now_ms(), stage.final_log(), serves
         )
         stage.oracle.note(finished)
     finally:
@@ -76,23 +76,26 @@
 
 
 async def _until(at_ms: float) -> None:
-    await asyncio.sleep(max(0.0, (at_ms - stages.now_ms()) / 1000))
+    await asyncio.sleep(max(0.0, (at_ms - environment.now_ms()) / 1000))
 
 
 async def _cause(
-    stage: stages.Stage, step: faults.Step, failed: list[str]
+    stage: environment.Environment, step: faults.Step, failed: list[str]
 ) -> None:
     try:
-        await faults.cause(stage, step)
+        await faults.inject(stage, step)
     except Exception as error:
         # One fault that fails must not hide what the others show.
         failed.append(f'{step.fault}: {error!r}')
 
 
-async def _recovers(stage: stages.Stage) -> bool:
+async def _recovers(stage: environment.Environment) -> bool:
     """Wait for a commit that is acknowledged from now on."""
     facts = stage.oracle.facts
-    before, until_ms = set(facts.acked), stages.now_ms() + RECOVERY_S * 1000
-    while not facts.acked.keys() - before and stages.now_ms() < until_ms:
+    before, until_ms = (
+        set(facts.acked),
+        environment.now_ms() + RECOVERY_S * 1000,
+    )
+    while not facts.acked.keys() - before and environment.now_ms() < until_ms:
         await asyncio.sleep(POLL_S)
     return bool(facts.acked.keys() - before)
--- a/topazring/soak/tests/test_oracle.py
+++ b/topazring/soak/tests/test_oracle.py
@@ -5,10 +5,10 @@
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import statements
 from topazring.soak import checks
-from topazring.soak import sightings
+from topazring.soak import observations
 
 Freshness = messages.Freshness
-Kind = sightings.Kind
+Kind = observations.Kind
 Verb = statements.Verb
 
 
@@ -18,8 +18,8 @@
     def __init__(self):
         self.oracle = checks.Oracle()
         self.now_ms = 100_000.0
-        self.log: list[sightings.Entry] = []
-        self.note(sightings.Led, 'u1', 1, self.log)
+        self.log: list[observations.Entry] = []
+        self.note(observations.Led, 'u1', 1, self.log)
 
     def tell(self, text: str) -> list[str]:
         """Tell a line; return the names of the checks that fail."""
@@ -41,37 +41,37 @@
 
     def lead(self, upstream, term):
         """Lead with nothing."""
-        self.note(sightings.Led, upstream, term, [])
+        self.note(observations.Led, upstream, term, [])
 
     def order(self, upstream, holder):
-        self.note(sightings.Ordered, upstream, holder, 7)
+        self.note(observations.Ordered, upstream, holder, 7)
 
     def ask(self, request_id, verb=Verb.WRITE, age=2000, **more):
-        ask = sightings.Ask(request_id, verb, 'k', 'd')
+        ask = observations.Ask(request_id, verb, 'k', 'd')
         more['max_staleness_ms'] = age
-        self.note(sightings.Asked, ask, 's1', 'p1', **more)
+        self.note(observations.Asked, ask, 's1', 'p1', **more)
 
     def run(self, request_id, verb=Verb.WRITE, data='d', **more):
         """Have `u1` run a statement."""
-        ask = sightings.Ask(request_id, verb, 'k', data)
+        ask = observations.Ask(request_id, verb, 'k', data)
         applied = more.pop('applied', len(self.log))
         fields = (ask, f'{request_id}.1', (), self.log, applied)
-        self.note(sightings.Ran, 'u1', *fields, **more)
+        self.note(observations.Ran, 'u1', *fields, **more)
 
     def commit(self, request_id):
-        entry = sightings.Entry(1, len(self.log) + 1, request_id)
-        self.note(sightings.Committed, 'u1', entry)
+        entry = observations.Entry(1, len(self.log) + 1, request_id)
+        self.note(observations.Committed, 'u1', entry)
         self.log.append(entry)
 
     def find(self, request_id):
         """Have a commit in the log that nobody saw happen."""
-        entry = sightings.Entry(1, len(self.log) + 1, request_id)
+        entry = observations.Entry(1, len(self.log) + 1, request_id)
         self.log.append(entry)
 
     def answer(self, request_id, kind=Kind.DONE, **more):
         fields = {'signature': f'{request_id}.1', **more}
-        answer = sightings.Answer(kind, **fields)
-        self.note(sightings.Answered, request_id, answer)
+        answer = observations.Answer(kind, **fields)
+        self.note(observations.Answered, request_id, answer)
 
     def refuse(self, request_id):
         self.answer(request_id, Kind.NOT_RUN)
@@ -91,35 +91,35 @@
         self.answer(request_id)
 
     def cut(self, request_id):
-        self.note(sightings.Cut, request_id)
+        self.note(observations.Cut, request_id)
 
     def overhear(self):
-        self.note(sightings.Unasked, 's1', 'p1', 'DONE q1.1')
+        self.note(observations.Unasked, 's1', 'p1', 'DONE q1.1')
 
     def trouble(self, where, planned=False):
         until_ms = self.now_ms + 10_000
-        self.note(sightings.Disturbed, until_ms, where, planned)
+        self.note(observations.Disturbed, until_ms, where, planned)
 
     def drain(self):
         """Have `u1` drain, and its time be over."""
-        self.note(sightings.Leaves, 'u1')
+        self.note(observations.Leaves, 'u1')
         self.wait(checks.DRAIN_MS)
 
     def configure(self, version):
-        self.note(sightings.InForce, version)
+        self.note(observations.InForce, version)
 
     def probe(self, version, taken):
-        self.note(sightings.Probed, self.now_ms, 'p1', version, taken)
+        self.note(observations.Probed, self.now_ms, 'p1', version, taken)
 
     def begin(self):
-        self.note(sightings.Started, 'p1')
+        self.note(observations.Started, 'p1')
 
     def exit(self, code):
-        self.note(sightings.Exited, 'p1', code)
+        self.note(observations.Exited, 'p1', code)
 
     def finish(self, log=None, serves=True):
         log = self.log if log is None else log
-        self.note(sightings.Finished, log, serves)
+        self.note(observations.Finished, log, serves)
 
 
 def _value(word: str):
@@ -220,4 +220,6 @@
             self.assertEqual([], Story().tell(text), text)
 
     def test_every_check_is_shown_to_fail(self):
-        self.assertEqual(set(checks.checks()), {name for name, _ in BROKEN})
+        self.assertEqual(
+            set(checks.checks_by_name()), {name for name, _ in BROKEN}
+        )
--- a/topazring/soak/tests/test_schedules.py
+++ b/topazring/soak/tests/test_schedules.py
@@ -23,9 +23,9 @@
             for seed in SEEDS
             for step in schedules.draw(seed, 20).steps
         }
-        self.assertEqual(set(faults.known()), drawn)
+        self.assertEqual(set(faults.faults_by_name()), drawn)
 
     def test_ends_quietly(self):
         for seed in SEEDS:
             for step in schedules.draw(seed, 20).steps:
-                self.assertLess(step.at_ms, 20_000 - schedules.QUIET_MS)
+                self.assertLess(step.at_ms, 20_000 - schedules.FINAL_QUIET_MS)
--- a/topazring/soak/tests/test_soak.py
+++ b/topazring/soak/tests/test_soak.py
@@ -33,7 +33,7 @@
         schedule = schedules.draw(SEED, SECONDS, FAMILIES)
         with tempfile.TemporaryDirectory() as folder:
             stage = soak_stage.Stage(schedule, PROXIES, folder)
-            outcome = asyncio.run(soaks.play(stage, schedule))
+            outcome = asyncio.run(soaks.run_schedule(stage, schedule))
             text = report.render(outcome, stage.logs())
             self.assertEqual([], outcome.violations, text)
             self.assertEqual([], outcome.failed, text)
