--- a/topazring/soak/schedules.py
+++ b/topazring/soak/schedules.py
@@ -48,15 +48,17 @@
     all_families = faults.families()
     drawn = rng.sample(all_families, rng.randint(1, len(all_families)))
     chosen = tuple(sorted(families or drawn))
-    known = [f for f in faults.faults_by_name().values() if f.family in chosen]
-    weights = [f.weight for f in known]
+    candidates = [
+        f for f in faults.faults_by_name().values() if f.family in chosen
+    ]
+    weights = [f.weight for f in candidates]
     mean_ms = rng.choice(MEAN_INTERVALS_MS)
     steps = []
     at_ms = FIRST_FAULT_MS
     while at_ms < seconds * 1000 - FINAL_QUIET_MS:
         step = faults.Step(
             int(at_ms),
-            rng.choices(known, weights)[0].name,
+            rng.choices(candidates, weights)[0].name,
             rng.random(),
             rng.choice(DURATIONS_MS),
             rng.choice(GAPS_MS),
