--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -25,7 +25,7 @@
     async def _run_steps(self, steps) -> None:
         self.noted: list[object] = []
         self.group = synchronous_upstreams.Group(
-            SERVICE, ports.free_many(3), self.noted.append, PROMOTE_MS
+            SERVICE, ports.find_free_ports(3), self.noted.append, PROMOTE_MS
         )
         self.group.changed = lambda member: None
         self.group.rng.random = lambda: 1.0
@@ -116,7 +116,7 @@
         self.assertEqual(['primary'] * 2, [old.role, new.role])
         caller = await self.connect(0)
         self.assertTrue(await self.hangs(caller, 'WRITE k v'))
-        new_member = self.group.add_replica(ports.free())
+        new_member = self.group.add_replica(ports.find_free_port())
         self.group.cut_pairs.add(frozenset((new.name, new_member.name)))
         answer = await caller.read_answer()
         self.assertTrue(answer[0].startswith('DONE'), answer)
