--- a/topazring/standin/__init__.py
+++ b/topazring/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform and for upstreams, in tests and trials."""
+"""Test doubles of the platform, an upstream and a faulty network."""
--- a/topazring/standin/database.py
+++ b/topazring/standin/database.py
@@ -1,4 +1,4 @@
-"""Run real SQL for one upstream, a schema for each organisation."""
+"""Execute SQL for one upstream, with one database per organisation."""
 
 import dataclasses
 import sqlite3
@@ -27,30 +27,31 @@
 
 
 class StatementError(ValueError):
-    """Say what is wrong with a statement."""
+    """Report that a statement failed or is not allowed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """Hold what a request record says."""
+    """Hold the stored outcome of a request id."""
 
     cancelled: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Databases:
-    """Hold the connection of each organisation."""
+    """Hold one SQLite connection per organisation."""
 
     connections: dict[str, sqlite3.Connection] = dataclasses.field(
         default_factory=dict
     )
     applied: int = 0
-    # Whether the statement at work is a caller's.
+    # Whether the statement being executed comes from a caller; only these
+    # are checked by the authorizer.
     runs_caller_sql: bool = False
 
 
-# A caller's statement may not end the transaction that it runs in, nor leave
-# its own database or change how the connection works.
+# A caller's statement must not end the transaction that it runs in, access
+# another database or change the settings of the connection.
 FORBIDDEN_ACTIONS = frozenset(
     {
         sqlite3.SQLITE_ATTACH,
@@ -62,8 +63,8 @@
 )
 
 
-def _guard(databases: Databases):
-    """Return the check that SQLite makes of each statement it prepares."""
+def _make_authorizer(databases: Databases):
+    """Return the authorizer that SQLite calls as it prepares a statement."""
 
     def authorize(action, name, *_):
         if not databases.runs_caller_sql:
@@ -75,14 +76,17 @@
     return authorize
 
 
-def _connection(databases: Databases, organisation: str) -> sqlite3.Connection:
+def _get_connection(
+    databases: Databases, organisation: str
+) -> sqlite3.Connection:
     connection = databases.connections.get(organisation)
     if connection is None:
-        # A cached statement would not be authorised again.
+        # SQLite authorises a statement when it is prepared: a cached one
+        # would not be checked again.
         connection = sqlite3.connect(
             ':memory:', isolation_level=None, cached_statements=0
         )
-        connection.set_authorizer(_guard(databases))
+        connection.set_authorizer(_make_authorizer(databases))
         connection.execute(
             f'CREATE TABLE {RECORDS_TABLE} (request_id TEXT PRIMARY KEY, '
             'cancelled INTEGER NOT NULL, at_ms INTEGER NOT NULL)'
@@ -95,12 +99,12 @@
 def read(
     databases: Databases, organisation: str, statements: Statements
 ) -> Rows:
-    """Run statements that may not write; raise StatementError if one does."""
-    connection = _connection(databases, organisation)
-    return _run(databases, connection, statements)
+    """Execute read-only statements; raise StatementError if one writes."""
+    connection = _get_connection(databases, organisation)
+    return _execute(databases, connection, statements)
 
 
-def _run(
+def _execute(
     databases: Databases,
     connection: sqlite3.Connection,
     statements: Statements,
@@ -112,7 +116,9 @@
             cursor = connection.execute(sql, parameters)
             rows = [list(row) for row in cursor.fetchmany(MAX_ROWS + 1)]
             if len(rows) > MAX_ROWS:
-                raise StatementError(f'the answer has over {MAX_ROWS} rows')
+                raise StatementError(
+                    f'the result has more than {MAX_ROWS} rows'
+                )
     except (sqlite3.Error, sqlite3.Warning, ValueError) as error:
         raise StatementError(str(error)) from None
     finally:
@@ -123,11 +129,11 @@
 def run_and_roll_back(
     databases: Databases, organisation: str, statements: Statements
 ) -> Rows:
-    """Return what the statements would give, and leave nothing behind."""
-    connection = _connection(databases, organisation)
+    """Execute statements, roll them back and return the last result."""
+    connection = _get_connection(databases, organisation)
     _begin(connection)
     try:
-        return _run(databases, connection, statements)
+        return _execute(databases, connection, statements)
     finally:
         _end(connection, 'ROLLBACK')
 
@@ -138,7 +144,7 @@
 
 
 def _end(connection: sqlite3.Connection, verb: str) -> None:
-    # A failed statement can have ended the transaction by itself.
+    # SQLite may have rolled the transaction back when a statement failed.
     if connection.in_transaction:
         connection.execute(verb)
     connection.execute('PRAGMA query_only=ON')
@@ -147,8 +153,8 @@
 def find_record(
     databases: Databases, organisation: str, request_id: str
 ) -> Record | None:
-    """Return the request record of an id, if it is kept."""
-    connection = _connection(databases, organisation)
+    """Return the record of a request id, or None if there is none."""
+    connection = _get_connection(databases, organisation)
     row = connection.execute(
         f'SELECT cancelled FROM {RECORDS_TABLE} WHERE request_id=?',
         (request_id,),
@@ -159,14 +165,14 @@
 def apply_entry(
     databases: Databases, entry: logs.Entry, position: int
 ) -> Rows:
-    """Commit an entry's statements and its request record as one."""
+    """Commit an entry's statements and its request record atomically."""
     if not entry.organisation:
         databases.applied = position
         return []
-    connection = _connection(databases, entry.organisation)
+    connection = _get_connection(databases, entry.organisation)
     _begin(connection)
     try:
-        rows = _run(databases, connection, entry.statements)
+        rows = _execute(databases, connection, entry.statements)
         if entry.request_id:
             connection.execute(
                 f'INSERT INTO {RECORDS_TABLE} VALUES (?, ?, ?)',
@@ -186,7 +192,7 @@
 
 
 def rebuild(databases: Databases, entries: list[logs.Entry]) -> None:
-    """Run the log again from its start, after it was cut back."""
+    """Replay the whole log, after its tail was removed."""
     for connection in databases.connections.values():
         connection.close()
     databases.connections.clear()
--- a/topazring/standin/faults.py
+++ b/topazring/standin/faults.py
@@ -1,9 +1,10 @@
-"""Pass TCP bytes on, with faults on any link.
+"""Forward TCP connections and inject faults on any link.
 
-Each link has a mode for either direction. Modes are changed by
+Each link has one mode per direction. Modes are set by
 `POST /links/NAME?forward=MODE&backward=MODE`; `forward` is from the caller
-to the target. With `only=old` a mode holds for connections open by then and
-not for later ones; with `only=new` the other way round.
+to the target. With `only=old` the modes apply to the connections that are
+open at that time, with `only=new` to later connections, else to both.
+`delay_ms` delays each chunk of bytes on all connections of the link.
 """
 
 import asyncio
@@ -23,19 +24,20 @@
 
 
 class Mode(enum.StrEnum):
-    """Name what happens to bytes."""
+    """Name how the bytes of one direction are treated."""
 
     PASS = 'pass'
-    # Nothing passes and nothing is closed.
+    # No bytes are forwarded; the connection stays open.
     SILENT = 'silent'
-    # Bytes vanish; what is sent later passes. For losing one answer.
+    # Bytes received in this mode are discarded; the connection stays open and
+    # later bytes pass. Loses a single response.
     DROP = 'drop'
-    # Connections are closed and new ones refused.
+    # Open connections are closed and new ones refused.
     CUT = 'cut'
 
 
 class Link:
-    """Own the sockets of one link."""
+    """Own the listening socket and the connections of one link."""
 
     def __init__(self, config: settings.LinkSettings, host: str):
         self.config = config
@@ -47,13 +49,13 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Listen for connections."""
         self.server = await asyncio.start_server(
             self._accept, self.host, self.config.port
         )
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
         self.server.close()
         for pipe in list(self.pipes):
             pipe.close()
@@ -73,7 +75,7 @@
     def set_modes(
         self, forward: Mode, backward: Mode, delay_s: float, only: str
     ) -> None:
-        """Change what happens to bytes on old connections, new, or both."""
+        """Set the modes of open connections, later ones, or both."""
         self.delay_s = delay_s
         if only != 'old':
             self.forward, self.backward = forward, backward
@@ -83,7 +85,7 @@
 
 
 class Pipe:
-    """Own one connection through a link."""
+    """Forward one connection through a link."""
 
     def __init__(self, link: Link, writer: asyncio.StreamWriter):
         self.link = link
@@ -93,37 +95,41 @@
         self.target: asyncio.StreamWriter | None = None
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Connect to the target and pass bytes both ways."""
+        """Connect to the target and forward bytes in both directions."""
         config = self.link.config
         try:
-            back, self.target = await asyncio.open_connection(
+            target_reader, self.target = await asyncio.open_connection(
                 config.target_host, config.target_port
             )
         except OSError:
             return
-        ways = [
-            asyncio.create_task(self._pump('forward', reader, self.target)),
-            asyncio.create_task(self._pump('backward', back, self.caller)),
+        tasks = [
+            asyncio.create_task(
+                self._forward_bytes('forward', reader, self.target)
+            ),
+            asyncio.create_task(
+                self._forward_bytes('backward', target_reader, self.caller)
+            ),
         ]
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-        for way in ways:
-            way.cancel()
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
+            task.cancel()
 
-    async def _pump(self, way: str, reader, writer) -> None:
+    async def _forward_bytes(self, direction: str, reader, writer) -> None:
         with contextlib.suppress(ConnectionError, OSError):
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.link.delay_s:
                     await asyncio.sleep(self.link.delay_s)
-                while self.modes[way] is Mode.SILENT:
+                while self.modes[direction] is Mode.SILENT:
                     self.changed.clear()
                     await self.changed.wait()
-                if self.modes[way] is Mode.DROP:
+                if self.modes[direction] is Mode.DROP:
                     continue
                 writer.write(chunk)
                 await writer.drain()
 
     def set_modes(self, forward: Mode, backward: Mode) -> None:
-        """Change what happens to bytes from now on."""
+        """Set the modes from now on; CUT closes the connection."""
         if Mode.CUT in (forward, backward):
             self.close()
             return
@@ -131,14 +137,14 @@
         self.changed.set()
 
     def close(self) -> None:
-        """Close both sides."""
+        """Abort the connections to the caller and to the target."""
         for writer in (self.caller, self.target):
             if writer is not None and not writer.is_closing():
                 writer.transport.abort()
 
 
 class FaultProxy:
-    """Own the links and the interface that sets their modes."""
+    """Own the links and the HTTP interface that sets their modes."""
 
     def __init__(self, config: settings.FaultsSettings):
         self.config = config
@@ -148,16 +154,16 @@
         self.server: httpserver.HTTPServer | None = None
 
     async def start(self) -> None:
-        """Listen on every link."""
+        """Listen on every link and on the HTTP interface."""
         for link in self.links.values():
             await link.start()
         routes = [(r'/links/(.+)', LinkHandler, {'links': self.links})]
         self.server = httpserver.HTTPServer(web.Application(routes))
         self.server.listen(self.config.port, self.config.host)
-        logger.info('passes %d links', len(self.links))
+        logger.info('forwarding %d links', len(self.links))
 
     async def close(self) -> None:
-        """Close every link."""
+        """Close the HTTP interface and every link."""
         self.server.stop()
         for link in self.links.values():
             await link.close()
--- a/topazring/standin/log.py
+++ b/topazring/standin/log.py
@@ -1,4 +1,4 @@
-"""Keep the replicated log of one upstream: terms, entries, roles."""
+"""Maintain the replicated log of one upstream: terms, entries, role."""
 
 import dataclasses
 import typing
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """Hold one committed transaction, or the empty start of a term."""
+    """Hold one committed transaction, or the empty first entry of a term."""
 
     log_term: int
     organisation: str = ''
@@ -30,20 +30,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Log:
-    """Hold what an upstream remembers."""
+    """Hold the replication state of an upstream."""
 
     name: str
     accepted_term: int = 0
-    # Who fenced the accepted term; another claimant of it is refused.
+    # The claimant that fenced the accepted term; any other claimant of the
+    # same term is refused.
     claimant: str = ''
     leads: bool = False
-    # Whether this upstream has led the accepted term before.
+    # Whether this upstream has become primary in the accepted term.
     has_led: bool = False
     entries: list[Entry] = dataclasses.field(default_factory=list)
 
 
 def last_position(log: Log) -> log_positions.LogPosition:
-    """Return the place of the last entry."""
+    """Return the log position of the last entry, or ORIGIN if empty."""
     if not log.entries:
         return log_positions.ORIGIN
     return log_positions.LogPosition(
@@ -52,14 +53,17 @@
 
 
 def fence(log: Log, term: int, claimant: str) -> bool:
-    """Accept a term, unless it is lower or another claimant's."""
+    """Accept a term for a claimant; return whether it is accepted.
+
+    A lower term is refused, and so is the accepted term for another claimant.
+    """
     if term > log.accepted_term:
-        _accept(log, term, claimant)
+        _accept_term(log, term, claimant)
         return True
     return term == log.accepted_term and claimant == log.claimant
 
 
-def _accept(log: Log, term: int, claimant: str) -> None:
+def _accept_term(log: Log, term: int, claimant: str) -> None:
     log.accepted_term = term
     log.claimant = claimant
     log.leads = False
@@ -67,20 +71,21 @@
 
 
 def lead(log: Log, term: int, claimant: str) -> bool:
-    """Begin to lead a term that this claimant fenced here."""
+    """Become primary of a term that the claimant has fenced on this log."""
     if term != log.accepted_term or claimant != log.claimant:
         return False
     if log.has_led:
         return log.leads
     log.leads = True
     log.has_led = True
-    # An older term's entries count as safe only below one of this term.
+    # Entries of an older term count as durable only once an entry of this
+    # term follows them.
     log.entries.append(Entry(term))
     return True
 
 
 def append(log: Log, entry: Entry) -> log_positions.LogPosition:
-    """Append an entry as the primary."""
+    """Append an entry as the primary; return its log position."""
     log.entries.append(entry)
     return last_position(log)
 
@@ -91,34 +96,37 @@
     after: log_positions.LogPosition,
     entries: list[Entry],
 ) -> tuple[bool, int | None]:
-    """Take entries from the primary of `term`, as a replica.
+    """Append entries from the primary of `term`, as a replica.
 
     Returns whether the entries fit, and the position from which the log was
-    cut back, if it was. They do not fit when the log has something else at
-    `after`; the primary then goes back further.
+    truncated, or None. The entries do not fit if the term is lower than the
+    accepted one or the log has no matching entry at `after`; in the latter
+    case the primary retries from an earlier position.
     """
     if term < log.accepted_term:
         return False, None
     if term > log.accepted_term:
-        _accept(log, term, '')
-    if not _holds(log, after):
+        _accept_term(log, term, '')
+    if not _contains(log, after):
         return False, None
     position = after.position
-    cut = None
+    truncated_from = None
     for entry in entries:
         position += 1
         if position <= len(log.entries):
             if log.entries[position - 1].log_term == entry.log_term:
                 continue
             del log.entries[position - 1 :]
-            cut = position if cut is None else cut
+            truncated_from = (
+                position if truncated_from is None else truncated_from
+            )
         log.entries.append(entry)
-    return True, cut
+    return True, truncated_from
 
 
-def _holds(log: Log, place: log_positions.LogPosition) -> bool:
-    if place.position == 0:
+def _contains(log: Log, last: log_positions.LogPosition) -> bool:
+    if last.position == 0:
         return True
-    if place.position > len(log.entries):
+    if last.position > len(log.entries):
         return False
-    return log.entries[place.position - 1].log_term == place.log_term
+    return log.entries[last.position - 1].log_term == last.log_term
--- a/topazring/standin/main.py
+++ b/topazring/standin/main.py
@@ -1,4 +1,4 @@
-"""Run a stand-in: `topazring-standin platform` or `upstream`."""
+"""Run a stand-in: `topazring-standin platform`, `upstream` or `faults`."""
 
 import asyncio
 import dataclasses
@@ -23,72 +23,72 @@
 @cappa.command(name='platform', help='The platform: values and instances.')
 @dataclasses.dataclass
 class PlatformCommand:
-    """Serve the platform's interface from memory."""
+    """Serve the platform's HTTP interface from memory."""
 
     file: typing.Annotated[str, cappa.Arg(help='settings file')]
 
     def __call__(self) -> None:
-        """Run until the process is told to stop."""
+        """Run until SIGTERM or SIGINT."""
         _run(self.file, settings.PlatformSettings, platform.Platform)
 
 
 @cappa.command(name='upstream', help='One upstream of a database group.')
 @dataclasses.dataclass
 class UpstreamCommand:
-    """Serve SQL from memory, replicated to the group."""
+    """Serve SQL from memory and replicate writes to the group."""
 
     file: typing.Annotated[str, cappa.Arg(help='settings file')]
 
     def __call__(self) -> None:
-        """Run until the process is told to stop."""
+        """Run until SIGTERM or SIGINT."""
         _run(self.file, settings.UpstreamSettings, upstream.Upstream)
 
 
 @cappa.command(name='faults', help='A TCP proxy that injects faults.')
 @dataclasses.dataclass
 class FaultsCommand:
-    """Pass bytes on, and cut, freeze, delay or drop them as told."""
+    """Forward TCP connections; close, stall, delay or drop on request."""
 
     file: typing.Annotated[str, cappa.Arg(help='settings file')]
 
     def __call__(self) -> None:
-        """Run until the process is told to stop."""
+        """Run until SIGTERM or SIGINT."""
         _run(self.file, settings.FaultsSettings, faults.FaultProxy)
 
 
 @cappa.command(name='topazring-standin')
 @dataclasses.dataclass
 class Standin:
-    """Stand in for the systems around topazring."""
+    """Simulate the systems that topazring depends on."""
 
     command: cappa.Subcommands[
         PlatformCommand | UpstreamCommand | FaultsCommand
     ]
 
 
-def _run(file: str, model, part) -> None:
+def _run(file: str, model, server_class) -> None:
     logs.configure()
     try:
         config = settings_file.read_settings(file, model)
     except settings_file.SettingsError as error:
         print(f'topazring-standin: {error}', file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
-    asyncio.run(_serve(part, config))
+    asyncio.run(_serve(server_class, config))
 
 
-async def _serve(part, config) -> None:
-    stopped = asyncio.Event()
+async def _serve(server_class, config) -> None:
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    running = part(config)
-    await running.start()
-    await stopped.wait()
-    await running.close()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    server = server_class(config)
+    await server.start()
+    await stop_requested.wait()
+    await server.close()
 
 
 def main() -> None:
-    """Run the command line."""
+    """Parse the command line and run the command."""
     cappa.invoke(Standin)
 
 
--- a/topazring/standin/platform.py
+++ b/topazring/standin/platform.py
@@ -1,4 +1,4 @@
-"""Run the platform's service: values, watches, leases, instances."""
+"""Serve the platform's API: values, watches, leases, instances."""
 
 import asyncio
 import contextlib
@@ -20,20 +20,20 @@
 PROBE_INTERVAL_S = 0.5
 MAX_MISSED_PROBES = 2
 MAX_WAIT_MS = 60_000
-# Changes in one answer; the rest is asked for next.
+# Changes in one response; the client requests the rest with `since`.
 MAX_PAGE_CHANGES = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Value:
-    """Hold a value with the revision of its last change; None is deleted."""
+    """Hold a value, None once deleted, and the revision of its last change."""
 
     revision: int
     value: str | None
 
 
 class Store:
-    """Hold values under one counter of revisions."""
+    """Hold values that share one revision counter."""
 
     def __init__(self, file: str, table: str):
         self.revision = 0
@@ -52,12 +52,15 @@
             self.revision = max(self.revision, revision)
 
     def get(self, key: str) -> Value | None:
-        """Return the value, unless it was never set or was deleted."""
+        """Return the value, or None if it was never set or was deleted."""
         found = self.values.get(key)
         return found if found and found.value is not None else None
 
     async def put(self, key: str, value: str | None) -> int:
-        """Set a value; wake the watches."""
+        """Set a value, or delete it with None, and wake pending watches.
+
+        Returns the new revision.
+        """
         self.revision += 1
         self.values[key] = Value(self.revision, value)
         self.disk.execute(
@@ -69,17 +72,17 @@
         return self.revision
 
     def changes_since(self, revision: int, prefix: str) -> list[dict]:
-        """Return what changed after a revision, oldest first."""
-        found = [
+        """Return the changes after a revision, oldest first."""
+        changes = [
             {'key': key, 'revision': v.revision, 'value': v.value}
             for key, v in self.values.items()
             if v.revision > revision and key.startswith(prefix)
         ]
-        return sorted(found, key=lambda change: change['revision'])
+        return sorted(changes, key=lambda change: change['revision'])
 
 
 class Platform:
-    """Own the stores and watch over the instances."""
+    """Own the stores and probe the health of the instances."""
 
     def __init__(self, config: settings.PlatformSettings):
         self.config = config
@@ -93,7 +96,7 @@
         self.probe_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Listen, and probe the instances."""
+        """Start listening and probing the instances."""
         routes = [
             (r'/kv/(.+)', ValueHandler, {'platform': self}),
             (r'/watch', WatchHandler, {'platform': self}),
@@ -105,7 +108,7 @@
         self.server = httpserver.HTTPServer(web.Application(routes))
         self.server.listen(self.config.port, self.config.host)
         self.probe_task = asyncio.create_task(self._probe_forever())
-        logger.info('listens on %d', self.config.port)
+        logger.info('listening on port %d', self.config.port)
 
     async def close(self) -> None:
         """Stop listening and probing."""
@@ -125,12 +128,16 @@
             await asyncio.gather(*(self._probe(name) for name in names))
 
     async def _probe(self, name: str) -> None:
-        """Ask an instance how it is; drop it when it stays silent."""
+        """Request an instance's health and update the list.
+
+        An instance that fails MAX_MISSED_PROBES probes in a row is removed;
+        one that reports `leaving` is listed as leaving.
+        """
         listed = self.instances.values[name]
-        known = json.loads(listed.value)
-        if not known.get('health_port'):
+        instance = json.loads(listed.value)
+        if not instance.get('health_port'):
             return
-        url = f'http://{known["host"]}:{known["health_port"]}/health'
+        url = f'http://{instance["host"]}:{instance["health_port"]}/health'
         try:
             reply = await self.client.fetch(
                 url, request_timeout=1.0, raise_error=False
@@ -141,19 +148,20 @@
         if state is None:
             self.missed_probes[name] = self.missed_probes.get(name, 0) + 1
             if self.missed_probes[name] >= MAX_MISSED_PROBES:
-                await self._list(name, None, listed.revision)
+                await self._update_list(name, None, listed.revision)
             return
         self.missed_probes[name] = 0
-        if state == 'leaving' and known['state'] != 'leaving':
-            changed = {**known, 'state': 'leaving'}
-            await self._list(name, changed, listed.revision)
+        if state == 'leaving' and instance['state'] != 'leaving':
+            changed = {**instance, 'state': 'leaving'}
+            await self._update_list(name, changed, listed.revision)
 
-    async def _list(
+    async def _update_list(
         self, name: str, instance: dict | None, revision: int
     ) -> None:
-        """Change the list, late; not if the instance was listed anew.
+        """Change the list after its lag, unless the instance was listed again.
 
-        A successor would be struck off for its predecessor's silence.
+        Otherwise a new instance of the same name would be removed because its
+        predecessor did not answer probes.
         """
         await asyncio.sleep(self.config.list_lag_ms / 1000)
         if self.instances.values[name].revision != revision:
@@ -171,14 +179,14 @@
         calls = self.platform.calls
         calls[caller] = calls.get(caller, 0) + 1
 
-    async def wait_since(self, store: Store, prefix: str) -> None:
-        """Answer with the changes after `since`, waiting for the first."""
+    async def write_changes(self, store: Store, prefix: str) -> None:
+        """Write the changes after `since`; wait up to `wait_ms` for one."""
         since = int(self.get_argument('since', '0'))
         wait_ms = int(self.get_argument('wait_ms', '0'))
-        until = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
+        deadline = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
         while True:
             changes = store.changes_since(since, prefix)
-            left_s = until - time.monotonic()
+            left_s = deadline - time.monotonic()
             if changes or left_s <= 0:
                 break
             async with store.changed:
@@ -191,7 +199,7 @@
 
 
 class ValueHandler(_Handler):
-    """Get, set by compare-and-swap, delete."""
+    """Get, set or delete a value; If-Match makes it compare-and-swap."""
 
     def get(self, key: str) -> None:
         found = self.platform.values.get(key)
@@ -205,7 +213,7 @@
         if len(self.request.body) > self.platform.config.value_limit_bytes:
             self.set_status(413)
             return
-        if not self._matches(key):
+        if not self._is_precondition_met(key):
             self.set_status(412)
             return
         text = self.request.body.decode()
@@ -213,23 +221,23 @@
         self.set_header('ETag', f'"{revision}"')
 
     async def delete(self, key: str) -> None:
-        if not self._matches(key):
+        if not self._is_precondition_met(key):
             self.set_status(412)
             return
         revision = await self.platform.values.put(key, None)
         self.set_header('ETag', f'"{revision}"')
 
-    def _matches(self, key: str) -> bool:
+    def _is_precondition_met(self, key: str) -> bool:
         found = self.platform.values.get(key)
         if self.request.headers.get('If-None-Match') == '*':
             return found is None
-        wanted = self.request.headers.get('If-Match')
-        if wanted is None:
+        expected_etag = self.request.headers.get('If-Match')
+        if expected_etag is None:
             return True
-        return found is not None and wanted == f'"{found.revision}"'
+        return found is not None and expected_etag == f'"{found.revision}"'
 
     def compute_etag(self) -> None:
-        """Leave the ETag to the revision."""
+        """Return None: the ETag is the revision, not Tornado's hash."""
         return None
 
 
@@ -238,11 +246,11 @@
 
     async def get(self) -> None:
         prefix = self.get_argument('prefix', '')
-        await self.wait_since(self.platform.values, prefix)
+        await self.write_changes(self.platform.values, prefix)
 
 
 class LeaseHandler(_Handler):
-    """Take, renew and give up a lease."""
+    """Acquire, renew and release a lease."""
 
     def post(self, name: str) -> None:
         holder = self.get_argument('holder')
@@ -266,11 +274,14 @@
     """List the instances, or wait for a change of the list."""
 
     async def get(self) -> None:
-        await self.wait_since(self.platform.instances, '')
+        await self.write_changes(self.platform.instances, '')
 
 
 class InstanceHandler(_Handler):
-    """Let whoever starts an instance list it; the list lags all the same."""
+    """Let the process that starts an instance list it or remove it.
+
+    The list still lags behind changes that probes detect.
+    """
 
     async def put(self, name: str) -> None:
         instance = json.loads(self.request.body)
@@ -282,7 +293,7 @@
 
 
 class CallsHandler(_Handler):
-    """Tell how many calls each caller made."""
+    """Return the number of calls by caller, from the X-Caller header."""
 
     def get(self) -> None:
         self.write(self.platform.calls)
--- a/topazring/standin/replication.py
+++ b/topazring/standin/replication.py
@@ -1,4 +1,4 @@
-"""Send the primary's log to its replicas, and take it as a replica."""
+"""Send the log of a primary to its replicas, and receive it as a replica."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,14 @@
 
 HEARTBEAT_INTERVAL_S = 0.1
 RECONNECT_DELAY_S = 0.1
-# A replica answers each message at once; longer silence is a dead link.
+# A replica acknowledges each message on receipt; without an acknowledgement
+# for this long, the connection is taken as dead.
 REPLICA_TIMEOUT_S = 1.0
 MAX_BATCH_ENTRIES = 256
 
 
 class Append(msgspec.Struct):
-    """Carry entries, or none as a heartbeat, from the primary of a term."""
+    """Carry entries from the primary of a term; a heartbeat has none."""
 
     term: int
     leader: str
@@ -33,12 +34,12 @@
 
 
 class Acknowledge(msgspec.Struct):
-    """Say how far the replica is, or why it did not take the entries."""
+    """Report the end of the replica's log and whether the entries fitted."""
 
     accepted_term: int
     position: int
     fits: bool
-    # The position that did not fit.
+    # The position of the `after` that did not fit.
     after: int = 0
 
 
@@ -48,7 +49,7 @@
 
 
 class Sender:
-    """Push the log to one replica for as long as this upstream leads."""
+    """Send the log to one replica while this upstream is primary."""
 
     def __init__(self, log: logs.Log, peer: settings.PeerSettings):
         self.log = log
@@ -60,7 +61,7 @@
         self.on_higher_term = None
 
     def start(self) -> None:
-        """Begin to connect and send."""
+        """Start connecting and sending."""
         self.task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -103,8 +104,9 @@
                         self.changed.wait(), HEARTBEAT_INTERVAL_S
                     )
         except websocket.WebSocketClosedError:
-            # The replica is dialled anew; what it lacks is sent then.
-            logger.info('the replica closed the link')
+            # The caller reconnects; the entries that the replica lacks are
+            # sent on the new connection.
+            logger.info('replica closed the connection')
         finally:
             reader.cancel()
 
@@ -112,9 +114,12 @@
         entries = self.log.entries
         start = min(self.next_position, len(entries) + 1)
         batch = entries[start - 1 : start - 1 + MAX_BATCH_ENTRIES]
-        before = entries[start - 2].log_term if start > 1 else 0
+        previous_term = entries[start - 2].log_term if start > 1 else 0
         message = Append(
-            self.log.accepted_term, self.log.name, (before, start - 1), batch
+            self.log.accepted_term,
+            self.log.name,
+            (previous_term, start - 1),
+            batch,
         )
         await socket.write_message(encode(message))
         self.next_position = start + len(batch)
@@ -132,15 +137,16 @@
                 self.on_higher_term(reply.accepted_term)
                 return
             if not reply.fits:
-                # Back from what was refused, not from what was sent since:
-                # that would ask for the same place for ever.
-                back = min(reply.after, reply.position + 1)
-                self.next_position = max(1, back)
+                # Go back from the refused position, not from next_position,
+                # which later batches have advanced: the same position would
+                # be tried for ever.
+                retry_from = min(reply.after, reply.position + 1)
+                self.next_position = max(1, retry_from)
                 self.changed.set()
 
 
 class Receiver:
-    """Take the primary's entries, late by the lag that was set."""
+    """Apply the primary's entries after a configured lag."""
 
     def __init__(self, log: logs.Log, on_extended):
         self.log = log
@@ -149,24 +155,30 @@
         self.on_extended = on_extended
 
     def receive(self, raw: bytes) -> tuple[float, Append, Acknowledge]:
-        """Note a message's arrival; return when to apply it, and a reply."""
+        """Record and decode a received message.
+
+        Returns the monotonic time at which to apply it, in seconds, the
+        message and its acknowledgement.
+        """
         message = decode_append(raw)
         if message.term >= self.log.accepted_term:
             self.last_received_at = time.monotonic()
-        due = time.monotonic()
+        due_at = time.monotonic()
         if message.entries:
-            due += self.lag_ms / 1000
-        return due, message, self._acknowledge(True)
+            due_at += self.lag_ms / 1000
+        return due_at, message, self._acknowledge(True)
 
     def apply(self, message: Append) -> Acknowledge:
-        """Take the entries of a message that is due."""
+        """Append the entries of a message that is due."""
         after = log_positions.LogPosition(*message.after)
-        fits, cut = logs.extend(self.log, message.term, after, message.entries)
-        self.on_extended(cut)
+        fits, truncated_from = logs.extend(
+            self.log, message.term, after, message.entries
+        )
+        self.on_extended(truncated_from)
         return self._acknowledge(fits, after.position)
 
     def primary_silent_ms(self) -> int:
-        """Return how long nothing was heard of a primary."""
+        """Return the time since the last message of a primary."""
         return int((time.monotonic() - self.last_received_at) * 1000)
 
     def _acknowledge(self, fits: bool, after: int = 0) -> Acknowledge:
--- a/topazring/standin/settings.py
+++ b/topazring/standin/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of the stand-ins."""
+"""Define and validate the settings of the stand-ins."""
 
 import pydantic
 
@@ -16,7 +16,7 @@
 
 
 class PeerSettings(_Settings):
-    """Name another upstream of the group."""
+    """Hold the name and address of another upstream of the group."""
 
     name: str
     host: str = '127.0.0.1'
@@ -24,7 +24,7 @@
 
 
 class UpstreamSettings(_Settings):
-    """Hold the settings of one upstream's stand-in."""
+    """Hold the settings of the stand-in of one upstream."""
 
     name: str
     host: str = '127.0.0.1'
@@ -34,7 +34,7 @@
     connections: int = pydantic.Field(25, ge=1)
     connect_delay_ms: int = pydantic.Field(10, ge=0)
     statement_ms: float = pydantic.Field(1.0, ge=0)
-    # How long this upstream, as a replica, takes to apply an entry.
+    # Delay with which this upstream, as a replica, applies an entry.
     lag_ms: float = pydantic.Field(5.0, ge=0)
 
 
@@ -43,15 +43,16 @@
 
     host: str = '127.0.0.1'
     port: int = pydantic.Field(ge=1, le=65535)
-    # How far the list of instances lags behind the instances.
+    # Delay before a failed or leaving instance is updated in the list.
     list_lag_ms: int = pydantic.Field(1000, ge=0)
-    # Where values outlive this process; the platform's own are replicated.
+    # SQLite file in which values survive a restart of this process; the real
+    # platform replicates its values instead. Empty keeps them in memory.
     state_file: str = ''
     value_limit_bytes: int = pydantic.Field(1_000_000, ge=1)
 
 
 class LinkSettings(_Settings):
-    """Name one link: where callers connect, and where it leads."""
+    """Hold a link's name, listening port and target address."""
 
     name: str
     port: int = pydantic.Field(ge=1, le=65535)
