--- a/topazring/standin/replication.py
+++ b/topazring/standin/replication.py
@@ -104,7 +104,7 @@
                         self.changed.wait(), HEARTBEAT_INTERVAL_S
                     )
         except websocket.WebSocketClosedError:
-            # The caller reconnects; the entries that the replica lacks are
+            # `_run` reconnects; the entries that the replica lacks are
             # sent on the new connection.
             logger.info('replica closed the connection')
         finally:
--- a/topazring/standin/upstream.py
+++ b/topazring/standin/upstream.py
@@ -1,4 +1,4 @@
-"""Run one upstream: slots, connections, replicated SQL."""
+"""Run one upstream: statement slots, connections, replicated SQL."""
 
 import asyncio
 import time
@@ -28,7 +28,7 @@
 
 
 class Refusal(Exception):
-    """Refuse a statement that was certainly not run."""
+    """Refuse a request that certainly was not executed."""
 
     def __init__(self, reason: Reason):
         super().__init__(str(reason))
@@ -45,9 +45,10 @@
         self.busy_slots = 0
         self.connections = 0
         self.waiters: set[asyncio.Future] = set()
-        # What ran, in order, whether or not it was later cut back.
+        # Every executed read and every appended entry, in order, including
+        # entries that were later truncated from the log.
         self.ledger: list[dict] = []
-        self.receiver = replication.Receiver(self.log, self._extended)
+        self.receiver = replication.Receiver(self.log, self._apply_log_change)
         self.receiver.lag_ms = config.lag_ms
         self.senders = [
             replication.Sender(self.log, peer) for peer in config.peers
@@ -55,7 +56,7 @@
         self.server: httpserver.HTTPServer | None = None
 
     async def start(self) -> None:
-        """Listen, and send the log whenever this upstream leads."""
+        """Start listening, and replicate the log while primary."""
         routes = [
             ('/sql', upstream_sockets.SqlSocket, {'upstream': self}),
             ('/control', upstream_sockets.ControlSocket, {'upstream': self}),
@@ -74,7 +75,9 @@
         for sender in self.senders:
             sender.on_higher_term = self._step_down
             sender.start()
-        logger.info('%s listens on %d', self.config.name, self.config.port)
+        logger.info(
+            '%s: listening on port %d', self.config.name, self.config.port
+        )
 
     async def close(self) -> None:
         """Stop listening and sending."""
@@ -84,9 +87,12 @@
 
     # ---- log ----
 
-    def _extended(self, cut: int | None) -> None:
-        if cut is not None:
-            logger.info('%s drops its log from %d', self.config.name, cut)
+    def _apply_log_change(self, truncated_from: int | None) -> None:
+        """Apply new entries, or replay the log if it was truncated."""
+        if truncated_from is not None:
+            logger.info(
+                '%s drops its log from %d', self.config.name, truncated_from
+            )
             database.rebuild(self.databases, self.log.entries)
         else:
             entries = self.log.entries
@@ -101,7 +107,7 @@
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Wake those who wait for a place or a term."""
+        """Wake the senders and the requests that wait for a log change."""
         waiters = list(self.waiters)
         self.waiters.clear()
         for waiter in waiters:
@@ -120,25 +126,27 @@
             self.waiters.discard(waiter)
 
     def primary_silent_ms(self) -> int:
-        """Return how long this replica heard nothing of a primary."""
+        """Return the time since a primary's last message; 0 on the primary."""
         return 0 if self.log.leads else self.receiver.primary_silent_ms()
 
     # ---- statements ----
 
     async def run(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+        self,
+        ask: wire.SqlAsk,
+        transaction: upstream_sockets.OpenTransaction | None,
     ) -> wire.SqlReply:
-        """Run one ask on a slot; say what became of it."""
+        """Execute a request in a free slot; return its reply."""
         try:
             if ask.at_replica:
-                await self._reach(ask)
+                await self._wait_for_position(ask)
             self._take_slot()
         except Refusal as refusal:
             return self._reply(ask, 'refused', reason=refusal.reason)
         try:
             if self.config.statement_ms:
                 await asyncio.sleep(self.config.statement_ms / 1000)
-            return self._run_now(ask, opened)
+            return self._run_atomically(ask, transaction)
         except Refusal as refusal:
             return self._reply(ask, 'refused', reason=refusal.reason)
         except database.StatementError as error:
@@ -151,21 +159,23 @@
             raise Refusal(Reason.SLOTS_BUSY)
         self.busy_slots += 1
 
-    async def _reach(self, ask: wire.SqlAsk) -> None:
-        wanted = log_positions.LogPosition(
+    async def _wait_for_position(self, ask: wire.SqlAsk) -> None:
+        required_position = log_positions.LogPosition(
             ask.wait_log_term, ask.wait_position
         )
-        until = time.monotonic() + ask.wait_ms / 1000
-        while logs.last_position(self.log) < wanted:
-            left_s = until - time.monotonic()
+        deadline = time.monotonic() + ask.wait_ms / 1000
+        while logs.last_position(self.log) < required_position:
+            left_s = deadline - time.monotonic()
             if left_s <= 0:
                 raise Refusal(Reason.REPLICA_BEHIND)
             await self.wait_for_change(left_s)
 
-    def _run_now(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+    def _run_atomically(
+        self,
+        ask: wire.SqlAsk,
+        transaction: upstream_sockets.OpenTransaction | None,
     ) -> wire.SqlReply:
-        """Run without giving way, so that nothing comes between."""
+        """Execute a request without awaiting, so that it runs atomically."""
         if not ask.at_replica:
             self._check_term(ask)
         match ask.kind:
@@ -173,46 +183,49 @@
                 rows = database.read(
                     self.databases, ask.organisation, ask.statements
                 )
-                self._note(ask, 'read')
+                self._record_in_ledger(ask, 'read')
                 return self._reply(ask, 'ran', rows=rows)
             case Kind.WRITE:
                 return self._write(ask, ask.statements)
             case Kind.SETTLE:
-                return self._settle(ask)
+                return self._resolve_in_doubt(ask)
             case Kind.BEGIN | Kind.ROLLBACK:
                 return self._reply(ask, 'ran')
             case Kind.EXECUTE:
-                return self._execute(ask, opened)
+                return self._execute(ask, transaction)
             case Kind.COMMIT:
-                return self._commit(ask, opened)
+                return self._commit(ask, transaction)
         raise Refusal(Reason.BAD_STATEMENT)
 
     def _check_term(self, ask: wire.SqlAsk) -> None:
-        """Refuse unless this is the primary of the very term asked for."""
+        """Refuse unless this is the primary of the request's exact term."""
         if not self.log.leads or self.log.accepted_term != ask.term:
             raise Refusal(Reason.REPLACED)
 
     def _write(self, ask: wire.SqlAsk, statements) -> wire.SqlReply:
-        record = self._find_record(ask)
-        if record is not None:
-            return record
+        recorded_reply = self._find_recorded_reply(ask)
+        if recorded_reply is not None:
+            return recorded_reply
         return self._append(ask, statements, cancelled=False)
 
-    def _settle(self, ask: wire.SqlAsk) -> wire.SqlReply:
-        """Answer from the record, or make sure that the id never runs."""
-        record = self._find_record(ask)
-        if record is not None:
-            return record
+    def _resolve_in_doubt(self, ask: wire.SqlAsk) -> wire.SqlReply:
+        """Reply from the request record, or record the id as cancelled.
+
+        A cancelled id is never executed afterwards.
+        """
+        recorded_reply = self._find_recorded_reply(ask)
+        if recorded_reply is not None:
+            return recorded_reply
         return self._append(ask, (), cancelled=True)
 
-    def _find_record(self, ask: wire.SqlAsk) -> wire.SqlReply | None:
+    def _find_recorded_reply(self, ask: wire.SqlAsk) -> wire.SqlReply | None:
         record = database.find_record(
             self.databases, ask.organisation, ask.request_id
         )
         if record is None:
-            kept_ms = database.RECORD_RETENTION_MS
+            retention_ms = database.RECORD_RETENTION_MS
             if request_ids.is_too_old(
-                ask.request_id, clock.wall_ms(), kept_ms
+                ask.request_id, clock.wall_ms(), retention_ms
             ):
                 raise Refusal(Reason.REQUEST_ID_TOO_OLD)
             return None
@@ -234,45 +247,51 @@
         position = len(self.log.entries) + 1
         rows = database.apply_entry(self.databases, entry, position)
         logs.append(self.log, entry)
-        self._note(ask, 'cancel' if cancelled else 'write')
+        self._record_in_ledger(ask, 'cancel' if cancelled else 'write')
         self.notify_waiters()
         return self._reply(ask, 'ran', rows=rows, cancelled=cancelled)
 
     def _execute(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+        self,
+        ask: wire.SqlAsk,
+        transaction: upstream_sockets.OpenTransaction | None,
     ):
-        if opened is None or opened.term != ask.term:
+        if transaction is None or transaction.term != ask.term:
             raise Refusal(Reason.TRANSACTION_LOST)
-        if len(opened.statements) >= MAX_TRANSACTION_STATEMENTS:
-            raise database.StatementError('the transaction is too long')
+        if len(transaction.statements) >= MAX_TRANSACTION_STATEMENTS:
+            raise database.StatementError(
+                'the transaction has too many statements'
+            )
         rows = database.run_and_roll_back(
             self.databases,
-            opened.organisation,
-            [*opened.statements, *ask.statements],
+            transaction.organisation,
+            [*transaction.statements, *ask.statements],
         )
-        opened.statements += ask.statements
-        opened.results.append(rows)
+        transaction.statements += ask.statements
+        transaction.results.append(rows)
         return self._reply(ask, 'ran', rows=rows)
 
     def _commit(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+        self,
+        ask: wire.SqlAsk,
+        transaction: upstream_sockets.OpenTransaction | None,
     ):
-        if opened is None or opened.term != ask.term:
+        if transaction is None or transaction.term != ask.term:
             raise Refusal(Reason.TRANSACTION_LOST)
-        record = self._find_record(ask)
-        if record is not None:
-            return record
-        for count in range(1, len(opened.statements) + 1):
+        recorded_reply = self._find_recorded_reply(ask)
+        if recorded_reply is not None:
+            return recorded_reply
+        for count in range(1, len(transaction.statements) + 1):
             rows = database.run_and_roll_back(
                 self.databases,
-                opened.organisation,
-                opened.statements[:count],
+                transaction.organisation,
+                transaction.statements[:count],
             )
-            if rows != opened.results[count - 1]:
+            if rows != transaction.results[count - 1]:
                 raise Refusal(Reason.CONFLICT)
-        return self._append(ask, opened.statements, cancelled=False)
+        return self._append(ask, transaction.statements, cancelled=False)
 
-    def _note(self, ask: wire.SqlAsk, what: str) -> None:
+    def _record_in_ledger(self, ask: wire.SqlAsk, what: str) -> None:
         self.ledger.append(
             {
                 'what': what,
@@ -290,13 +309,13 @@
         rows: list | None = None,
         **more,
     ) -> wire.SqlReply:
-        place = logs.last_position(self.log)
+        position = logs.last_position(self.log)
         return wire.SqlReply(
             ask.id,
             result,
             self.log.accepted_term,
-            place.log_term,
-            place.position,
+            position.log_term,
+            position.position,
             rows=rows or [],
             leads=self.log.leads,
             **more,
--- a/topazring/standin/upstream_sockets.py
+++ b/topazring/standin/upstream_sockets.py
@@ -1,4 +1,4 @@
-"""Serve an upstream's sockets: statements, control, replication, ledger."""
+"""Handle an upstream's WebSocket and HTTP requests."""
 
 import asyncio
 import dataclasses
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenTransaction:
-    """Hold an interactive transaction: what ran and what it showed.
+    """Hold the statements of an interactive transaction and their results.
 
-    Its statements run again at commit. If they show something else by then,
-    another transaction came between, and the commit is refused.
+    The statements are executed again at commit. If the results differ, another
+    transaction has committed in between and the commit is refused.
     """
 
     organisation: str
@@ -42,11 +42,11 @@
 
 
 class _CountedSocket(websocket.WebSocketHandler):
-    """Count the connection and let it take its time to open."""
+    """Enforce the connection limit and delay the opening handshake."""
 
     def initialize(self, upstream) -> None:
         self.upstream = upstream
-        self.counted = False
+        self.is_counted = False
 
     async def prepare(self) -> None:
         if self.upstream.connections >= self.upstream.config.connections:
@@ -54,7 +54,7 @@
             self.finish('too many connections')
             return
         self.upstream.connections += 1
-        self.counted = True
+        self.is_counted = True
         await asyncio.sleep(self.upstream.config.connect_delay_ms / 1000)
 
     def on_finish(self) -> None:
@@ -68,13 +68,13 @@
         self._uncount()
 
     def _uncount(self) -> None:
-        if self.counted:
-            self.counted = False
+        if self.is_counted:
+            self.is_counted = False
             self.upstream.connections -= 1
 
 
 class SqlSocket(_CountedSocket):
-    """Serve statements, one at a time, and perhaps a transaction."""
+    """Execute requests in turn, with at most one open transaction."""
 
     open_transaction: OpenTransaction | None = None
 
@@ -89,17 +89,18 @@
 
 
 class ControlSocket(_CountedSocket):
-    """Serve statuses and terms; asks may be answered out of order."""
+    """Serve status queries and term changes; replies may be out of order."""
 
     async def on_message(self, raw) -> None:
         ask = wire.decode_control_ask(raw)
-        task = asyncio.create_task(self._answer(ask))
-        # A task without a reference can be collected before it ends.
+        task = asyncio.create_task(self._handle_request(ask))
+        # asyncio keeps only a weak reference to a task: without another one it
+        # can be garbage-collected before it ends.
         self.tasks = getattr(self, 'tasks', set())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _answer(self, ask: wire.ControlAsk) -> None:
+    async def _handle_request(self, ask: wire.ControlAsk) -> None:
         log = self.upstream.log
         accepted = True
         if ask.kind == 'fence':
@@ -110,34 +111,38 @@
             self.upstream.databases.applied = len(log.entries)
             self.upstream.notify_waiters()
         elif ask.wait_ms:
-            await self._wait(ask)
-        place = logs.last_position(log)
+            await self._wait_for_position(ask)
+        position = logs.last_position(log)
         reply = wire.ControlReply(
             ask.id,
             log.accepted_term,
-            place.log_term,
-            place.position,
+            position.log_term,
+            position.position,
             log.leads,
             self.upstream.primary_silent_ms(),
             accepted,
         )
         sockets.write_if_open(self, wire.encode_control(reply), True)
 
-    async def _wait(self, ask: wire.ControlAsk) -> None:
+    async def _wait_for_position(self, ask: wire.ControlAsk) -> None:
+        """Wait until the log reaches a position in the term, or time out.
+
+        Returns early once a higher term is accepted, and at once for ORIGIN.
+        """
         log = self.upstream.log
-        wanted = log_positions.LogPosition(ask.log_term, ask.position)
-        until = time.monotonic() + ask.wait_ms / 1000
+        required = log_positions.LogPosition(ask.log_term, ask.position)
+        deadline = time.monotonic() + ask.wait_ms / 1000
         while log.accepted_term <= ask.term:
-            place = logs.last_position(log)
-            left_s = until - time.monotonic()
-            held = place.log_term == ask.term and place >= wanted
-            if held or wanted == log_positions.ORIGIN or left_s <= 0:
+            position = logs.last_position(log)
+            left_s = deadline - time.monotonic()
+            is_reached = position.log_term == ask.term and position >= required
+            if is_reached or required == log_positions.ORIGIN or left_s <= 0:
                 return
             await self.upstream.wait_for_change(left_s)
 
 
 class ReplicateSocket(websocket.WebSocketHandler):
-    """Take the log from a primary."""
+    """Receive the log from a primary."""
 
     def initialize(self, upstream) -> None:
         self.upstream = upstream
@@ -145,17 +150,17 @@
         self.worker: asyncio.Task | None = None
 
     def open(self) -> None:
-        self.worker = asyncio.create_task(self._work())
+        self.worker = asyncio.create_task(self._apply_messages())
 
     def on_message(self, raw) -> None:
-        due, message, reply = self.upstream.receiver.receive(raw)
+        due_at, message, reply = self.upstream.receiver.receive(raw)
         self._send(reply)
-        self.inbox.put_nowait((due, message))
+        self.inbox.put_nowait((due_at, message))
 
-    async def _work(self) -> None:
+    async def _apply_messages(self) -> None:
         while True:
-            due, message = await self.inbox.get()
-            delay_s = due - time.monotonic()
+            due_at, message = await self.inbox.get()
+            delay_s = due_at - time.monotonic()
             if delay_s > 0:
                 await asyncio.sleep(delay_s)
             reply = self.upstream.receiver.apply(message)
@@ -171,7 +176,7 @@
 
 
 class LedgerHandler(web.RequestHandler):
-    """Show what ran and what the log holds: the oracle of the tests."""
+    """Return the executed requests and the log, for the tests' checks."""
 
     def initialize(self, upstream) -> None:
         self.upstream = upstream
@@ -202,7 +207,7 @@
 
 
 class SetHandler(web.RequestHandler):
-    """Change the lag or the statement's time while running."""
+    """Change the replication lag or the statement duration at run time."""
 
     def initialize(self, upstream) -> None:
         self.upstream = upstream
