--- a/topazring/soak/faults.py
+++ b/topazring/soak/faults.py
@@ -85,7 +85,7 @@
 
 async def inject(stage: environment.Environment, step: Step) -> None:
     """Cause a fault and wait for its end."""
-    await _faults[step.fault].cause(stage, step)
+    await _faults[step.fault].inject(stage, step)
 
 
 def _pick(stage: environment.Environment, choice: float) -> Instance:
