--- a/topazring/load/experiments.py
+++ b/topazring/load/experiments.py
@@ -57,24 +57,24 @@
 
 
 SIZES = {'ballinure': plans.ballinure, 'dizon': plans.dizon}
-SETTLE_S = 1.5
-AT_A_TIME = 3
+WARM_UP_S = 1.5
+MAX_CONCURRENT_FLEETS = 3
 
 
 # ---- the failover gap ----------------------------------------------------
 
 
-async def kill(fleet: fleets.Fleet, primary: str) -> None:
+async def kill_primary(fleet: fleets.Fleet, primary: str) -> None:
     """End the primary's process: connections are refused."""
     await fleet.kill(primary)
 
 
-async def freeze(fleet: fleets.Fleet, primary: str) -> None:
+async def freeze_primary(fleet: fleets.Fleet, primary: str) -> None:
     """Stop the primary's process: connections go silent."""
     fleet.freeze(primary)
 
 
-async def cut(fleet: fleets.Fleet, primary: str) -> None:
+async def partition_primary(fleet: fleets.Fleet, primary: str) -> None:
     """Cut the primary off from its replicas and half of the proxies.
 
     The first owner still reaches it and goes on giving it writes.
@@ -94,10 +94,14 @@
         )
 
 
-FAULTS = {'kill': kill, 'freeze': freeze, 'cut': cut}
+FAULTS = {
+    'kill': kill_primary,
+    'freeze': freeze_primary,
+    'cut': partition_primary,
+}
 
 
-async def one_failover(
+async def measure_failover(
     size: str, fault: str, store_down: bool
 ) -> tuple[float | None, report.Summary]:
     """Lose a primary under load; return the gap and the load's figures."""
@@ -110,7 +114,7 @@
         load = load_on(fleet, mix)
         await load.start()
         running = asyncio.create_task(load.run())
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(WARM_UP_S)
         primary = await fleet.primary_of(plan.databases[0])
         if store_down:
             fleet.freeze('platform')
@@ -118,7 +122,7 @@
         await FAULTS[fault](fleet, primary)
         stats = await running
         await load.close()
-        gap_ms = report.failover_gap_ms(stats, lost_at, primary)
+        gap_ms = report.failover_outage_ms(stats, lost_at, primary)
         return gap_ms, report.summarize(stats, mix.seconds, primary)
     finally:
         await fleet.close()
@@ -128,7 +132,7 @@
     """Run a few fleets at a time; each takes a fraction of a core."""
     found = []
     while len(found) < runs:
-        count = min(AT_A_TIME, runs - len(found))
+        count = min(MAX_CONCURRENT_FLEETS, runs - len(found))
         found += await asyncio.gather(*(make() for _ in range(count)))
     return found
 
@@ -142,7 +146,7 @@
             violations = 0
             slowest_ms = 0.0
             for gap_ms, summary in await _repeat(
-                runs, lambda: one_failover(size, fault, store_down)
+                runs, lambda: measure_failover(size, fault, store_down)
             ):
                 gaps.append(gap_ms)
                 violations += summary.violations
@@ -206,7 +210,7 @@
 POLICIES = ('', 'primary_only', 'blind_replica')
 
 
-async def one_share(
+async def measure_replica_share(
     size: str, lags_ms: tuple[int, int], baseline: str
 ) -> report.Summary:
     """Run a size's mix with its replicas at the given lags."""
@@ -226,7 +230,7 @@
         ]
         for name, lag_ms in zip(replicas, lags_ms, strict=True):
             await fleet.post(f'{name}/set', {'lag_ms': lag_ms})
-        await asyncio.sleep(SETTLE_S + min(lags_ms) / 1000)
+        await asyncio.sleep(WARM_UP_S + min(lags_ms) / 1000)
         stats = await load.run()
         await load.close()
         return report.summarize(stats, mix.seconds, primary)
@@ -237,10 +241,13 @@
 async def _share(size: str) -> Rows:
     cases = [(lags, policy) for lags in LAGS_MS for policy in POLICIES]
     found = []
-    for start in range(0, len(cases), AT_A_TIME):
-        some = cases[start : start + AT_A_TIME]
+    for start in range(0, len(cases), MAX_CONCURRENT_FLEETS):
+        some = cases[start : start + MAX_CONCURRENT_FLEETS]
         found += await asyncio.gather(
-            *(one_share(size, lags, policy) for lags, policy in some)
+            *(
+                measure_replica_share(size, lags, policy)
+                for lags, policy in some
+            )
         )
     return [
         _share_row(size, lags, policy, summary)
@@ -382,7 +389,7 @@
 
 # ---- one organisation's flood --------------------------------------------
 
-ORDINARY = 20
+ORDINARY_COUNT = 20
 ORDINARY_RATE = 20.0
 FLOOD_RATE = 10 * 25.0
 
@@ -392,7 +399,7 @@
     """Twenty ordinary organisations, alone and beside one that floods."""
     rows = []
     for flooding in (False, True):
-        names = tuple(f'org{n}' for n in range(ORDINARY + 1))
+        names = tuple(f'org{n}' for n in range(ORDINARY_COUNT + 1))
         plan = plans.Plan(statement_ms=STATEMENT_MS, organisations=names)
         fleet = fleets.Fleet(plan)
         try:
@@ -412,7 +419,7 @@
     """Run all loads at once; return the ordinary ones' and the flood's."""
     loads = []
     for number, name in enumerate(fleet.plan.organisations):
-        floods = number == ORDINARY
+        floods = number == ORDINARY_COUNT
         mix = generator.Mix(
             sessions=20 if floods else 4,
             rate=FLOOD_RATE if floods else ORDINARY_RATE,
@@ -429,7 +436,7 @@
     stats = await asyncio.gather(*(load.run() for load in loads))
     await asyncio.gather(*(load.close() for load in loads))
     ordinary = generator.Stats()
-    for one in stats[:ORDINARY]:
+    for one in stats[:ORDINARY_COUNT]:
         ordinary.outcomes.update(one.outcomes)
         for kind, recorded in one.latency.items():
             if kind in ordinary.latency:
@@ -438,7 +445,7 @@
                 ordinary.latency[kind] = recorded
     found = {'20 ordinary': ordinary}
     if flooding:
-        found['the flood'] = stats[ORDINARY]
+        found['the flood'] = stats[ORDINARY_COUNT]
     return found
 
 
--- a/topazring/load/generator.py
+++ b/topazring/load/generator.py
@@ -23,10 +23,10 @@
     'ON CONFLICT (session) DO UPDATE SET n = max(n, excluded.n)'
 )
 READ = 'SELECT n FROM marks WHERE session = ?'
-MOST_MS = 120_000
+MAX_LATENCY_MS = 120_000
 RECONNECT_S = 0.05
 # A write is repeated under its own id for that long after a loss.
-REPEAT_S = 20.0
+WRITE_RETRY_LIMIT_S = 20.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
         """Record how long an answer took."""
         recorded = self.latency.get(kind)
         if recorded is None:
-            recorded = histogram.HdrHistogram(1, MOST_MS * 1000, 2)
+            recorded = histogram.HdrHistogram(1, MAX_LATENCY_MS * 1000, 2)
             self.latency[kind] = recorded
         recorded.record_value(max(1, int(seconds * 1_000_000)))
 
@@ -83,7 +83,7 @@
     sent: int = 0
     acked: int = 0
     seen: dict = dataclasses.field(default_factory=dict)
-    moving: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    roam_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
 
 class Load:
@@ -194,7 +194,7 @@
                 )
                 break
             except client.ConnectionLost:
-                if time.monotonic() - began > REPEAT_S:
+                if time.monotonic() - began > WRITE_RETRY_LIMIT_S:
                     self.stats.outcomes['write lost'] += 1
                     return
                 repeat = True
@@ -233,7 +233,7 @@
 
     async def _roam(self, user: User, lost: client.Session) -> None:
         """Take the session to another proxy, once for all that wait."""
-        async with user.moving:
+        async with user.roam_lock:
             if user.session is lost:
                 self.stats.roams += 1
                 number = self.rng.randrange(len(self.urls))
--- a/topazring/load/report.py
+++ b/topazring/load/report.py
@@ -4,7 +4,7 @@
 
 from topazring.load import generator
 
-__all__ = ['Summary', 'failover_gap_ms', 'render', 'summarize']
+__all__ = ['Summary', 'failover_outage_ms', 'render', 'summarize']
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
@@ -60,7 +60,7 @@
     return max(gaps, default=0.0)
 
 
-def failover_gap_ms(
+def failover_outage_ms(
     stats: generator.Stats, lost_at: float, primary: str
 ) -> float | None:
     """Return the time from the loss to the first write at a new primary.
--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -15,18 +15,18 @@
     return catalogue.check('profile', values).model_dump()
 
 
-async def statuses(fleet):
+async def fetch_statuses(fleet):
     """Return each proxy's status."""
     names = [f'p{n + 1}' for n in range(fleet.plan.proxies)]
     found = [await fleet.get(f'{n} operator', '/status') for n in names]
     return dict(zip(names, found, strict=True))
 
 
-async def in_force(fleet, revision, proxies):
+async def wait_until_in_force(fleet, revision, proxies):
     """Wait until these proxies have a revision."""
 
     async def reached():
-        found = await statuses(fleet)
+        found = await fetch_statuses(fleet)
         return all(
             found[name] and found[name]['seen']['configuration'] >= revision
             for name in proxies
@@ -76,7 +76,7 @@
             )
             self.assertEqual(['p2'], missing.proxies)
             fleet.thaw('p2')
-            await in_force(fleet, revision, ['p2'])
+            await wait_until_in_force(fleet, revision, ['p2'])
 
         self.run_on_fleet(steps)
 
@@ -198,13 +198,13 @@
 
         async def steps(fleet):
             await self.set_profile(fleet, 'known')
-            before = await statuses(fleet)
+            before = await fetch_statuses(fleet)
             seen = before['p1']['seen']['configuration']
-            await in_force(fleet, seen, ['p1', 'p2', 'p3'])
+            await wait_until_in_force(fleet, seen, ['p1', 'p2', 'p3'])
             await fleet.kill('platform')
             await fleet.kill('p3')
             await fleet.spawn('p3')
-            await in_force(fleet, seen, ['p3'])
+            await wait_until_in_force(fleet, seen, ['p3'])
             session = await fleet.session('p3', 'known')
             await session.write(support.TABLE)
             saved = await session.write(support.INSERT, ['IPE300'])
@@ -214,7 +214,7 @@
                 fleet._platform_answers, 'the platform answers'
             )
             revision = await self.set_profile(fleet, 'later')
-            await in_force(fleet, revision, ['p1', 'p2', 'p3'])
+            await wait_until_in_force(fleet, revision, ['p1', 'p2', 'p3'])
 
         self.run_on_fleet(steps)
 
@@ -235,7 +235,7 @@
             bad = [n for n in stats.outcomes if not n.endswith(' done')]
             self.assertEqual([], bad)
             revision = await self.set_profile(fleet, 'after')
-            await in_force(fleet, revision, ['p1', 'p2', 'p3'])
+            await wait_until_in_force(fleet, revision, ['p1', 'p2', 'p3'])
 
         self.run_on_fleet(steps)
 
@@ -249,7 +249,7 @@
         async def steps(fleet):
             await fleet.set_link('p1/platform', forward='cut', backward='cut')
             revision = await self.set_profile(fleet, 'gossiped')
-            await in_force(fleet, revision, ['p1'])
+            await wait_until_in_force(fleet, revision, ['p1'])
             session = await fleet.session('p1', 'gossiped')
             await session.close()
 
@@ -264,16 +264,16 @@
 
         async def steps(fleet):
             first = await self.set_profile(fleet, 'kept', repeatable=False)
-            await in_force(fleet, first, ['p1', 'p2', 'p3'])
+            await wait_until_in_force(fleet, first, ['p1', 'p2', 'p3'])
             fleet.freeze('p3')
             last = await self.set_profile(
                 fleet, 'kept', expected=first, repeatable=True
             )
-            await in_force(fleet, last, ['p1', 'p2'])
+            await wait_until_in_force(fleet, last, ['p1', 'p2'])
             fleet.thaw('p3')
             seen = []
             for _ in range(30):
-                found = await statuses(fleet)
+                found = await fetch_statuses(fleet)
                 seen.append(
                     [s['seen']['configuration'] for s in found.values() if s]
                 )
@@ -281,7 +281,7 @@
             for before, after in zip(seen, seen[1:], strict=False):
                 for old, new in zip(before, after, strict=False):
                     self.assertGreaterEqual(new, old)
-            await in_force(fleet, last, ['p3'])
+            await wait_until_in_force(fleet, last, ['p3'])
 
         self.run_on_fleet(steps)
 
@@ -293,7 +293,7 @@
         """
 
         async def steps(fleet):
-            old = (await statuses(fleet))['p2']
+            old = (await fetch_statuses(fleet))['p2']
             listed = await fleet.platform.instances(0)
             entry = next(
                 json.loads(c.value)
@@ -304,12 +304,12 @@
             await fleet.processes['p2'].wait()
             await fleet.platform.announce('p2', entry)
             await asyncio.sleep(1.0)
-            found = await statuses(fleet)
+            found = await fetch_statuses(fleet)
             for name in ('p1', 'p3'):
                 self.assertNotIn('p2', found[name]['members'])
             await fleet.spawn('p2')
             await fleet.wait_ready('p1')
-            new = (await statuses(fleet))['p2']
+            new = (await fetch_statuses(fleet))['p2']
             self.assertNotEqual(old['incarnation'], new['incarnation'])
 
         self.run_on_fleet(steps)
--- a/topazring/tests/test_failover.py
+++ b/topazring/tests/test_failover.py
@@ -44,11 +44,11 @@
 
             stats = await self.load_during_fault(fleet, fault)
             self.assertTrue(support.acknowledged_by_others(stats, primary))
-            await self.wait_follows(fleet, primary)
+            await self.wait_until_following(fleet, primary)
 
         self.run_on_fleet(steps)
 
-    async def wait_follows(self, fleet, name):
+    async def wait_until_following(self, fleet, name):
         """Wait until an old primary holds the new one's log."""
 
         async def follows():
@@ -77,15 +77,15 @@
             grown = []
 
             async def fault():
-                await experiments.cut(fleet, primary)
+                await experiments.partition_primary(fleet, primary)
                 await asyncio.sleep(2.0)
                 grown.append(len((await fleet.ledger(primary))['log']))
-                await heal(fleet, primary)
+                await restore_links(fleet, primary)
 
             stats = await self.load_during_fault(fleet, fault)
             self.assertTrue(support.acknowledged_by_others(stats, primary))
             self.assertGreater(grown[0], before)
-            await self.wait_follows(fleet, primary)
+            await self.wait_until_following(fleet, primary)
             self.assertIn('drops its log', fleet.log_of(primary))
 
         self.run_on_fleet(steps, faults=True)
@@ -146,18 +146,18 @@
             async def fault():
                 fleet.freeze('platform')
                 fleet.freeze(first)
-                second = await self.wait_other(fleet, first)
+                second = await self.wait_for_other_primary(fleet, first)
                 fleet.thaw(first)
-                await self.wait_follows(fleet, first)
+                await self.wait_until_following(fleet, first)
                 await fleet.kill(second)
-                await self.wait_other(fleet, second)
+                await self.wait_for_other_primary(fleet, second)
                 fleet.thaw('platform')
 
             await self.load_during_fault(fleet, fault, seconds=8.0)
 
         self.run_on_fleet(steps)
 
-    async def wait_other(self, fleet, lost):
+    async def wait_for_other_primary(self, fleet, lost):
         """Wait until an upstream other than `lost` leads."""
 
         async def other():
@@ -269,7 +269,7 @@
         self.run_on_fleet(steps)
 
 
-async def heal(fleet, primary):
+async def restore_links(fleet, primary):
     """Let all links of a primary pass again."""
     for peer in support.replicas_of(fleet, primary):
         await fleet.set_link(f'{primary}/{peer}')
