--- a/topazring/admin/changes.py
+++ b/topazring/admin/changes.py
@@ -11,19 +11,19 @@
 
 __all__ = [
     'Accepted',
-    'Lost',
-    'NotReached',
-    'Raced',
+    'NoResponse',
+    'Unconfirmed',
+    'Conflict',
     'Unchanged',
-    'change',
-    'key_of',
+    'change_value',
+    'make_key',
     'read_value',
     'wait_everywhere',
 ]
 
-TRIES = 20
-PAUSE_S = 0.25
-POLL_S = 0.1
+MAX_ATTEMPTS = 20
+RETRY_DELAY_S = 0.25
+POLL_INTERVAL_S = 0.1
 _CHANGE_ID = 'change_id'
 
 
@@ -42,23 +42,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Raced:
+class Conflict:
     """Report that another operator was first, with both versions."""
 
-    theirs: object
-    ours: object
+    current: object
+    requested: object
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class NoResponse:
     """Report that the service did not say whether the change took effect."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotReached:
+class Unconfirmed:
     """Name the proxies that do not confirm the revision in time."""
 
     proxies: list[str]
@@ -73,33 +73,33 @@
     change_id: str
 
 
-def key_of(kind: str, name: str) -> str:
+def make_key(kind: str, name: str) -> str:
     """Return the key under which a configured thing is kept."""
     return f'{catalogue.PREFIX}{kind}/{name}'
 
 
 async def read_value(
     platform: platform_client.PlatformClient, kind: str, name: str
-) -> Stored | Lost:
+) -> Stored | NoResponse:
     """Read what the service has."""
-    found = await platform.get(key_of(kind, name))
+    found = await platform.get(make_key(kind, name))
     match found:
         case key_value.Missing():
             return Stored(None, None, '')
         case key_value.Unavailable(detail=detail):
-            return Lost(detail)
+            return NoResponse(detail)
     value = json.loads(found.value)
     change_id = value.pop(_CHANGE_ID, '')
     return Stored(value, found.revision, change_id)
 
 
-async def change(
+async def change_value(
     platform: platform_client.PlatformClient,
     kind: str,
     name: str,
     value: dict,
     expected: int | None,
-) -> Accepted | Unchanged | Raced | Lost:
+) -> Accepted | Unchanged | Conflict | NoResponse:
     """Set a value by compare-and-swap against the revision `expected`.
 
     The answer to a swap can be lost after it took effect. The change's own
@@ -109,27 +109,27 @@
     change_id = uuid.uuid4().hex
     text = json.dumps({**value, _CHANGE_ID: change_id})
     detail = ''
-    for _ in range(TRIES):
-        written = await platform.put(key_of(kind, name), text, expected)
+    for _ in range(MAX_ATTEMPTS):
+        written = await platform.put(make_key(kind, name), text, expected)
         if isinstance(written, key_value.Written):
             return Accepted(written.revision)
         stored = await read_value(platform, kind, name)
-        if isinstance(stored, Lost):
+        if isinstance(stored, NoResponse):
             detail = stored.detail
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             continue
         if stored.change_id == change_id:
             return Accepted(stored.revision)
         if stored.revision != expected:
             if stored.value == value:
                 return Unchanged(stored.revision)
-            return Raced(stored.value, value, stored.revision or 0)
-    return Lost(detail)
+            return Conflict(stored.value, value, stored.revision or 0)
+    return NoResponse(detail)
 
 
 async def wait_everywhere(
     fetch, proxies: list[dict], revision: int, timeout_s: float
-) -> NotReached | None:
+) -> Unconfirmed | None:
     """Wait until every proxy has the revision; name those that do not.
 
     `fetch(proxy)` returns a proxy's status, or None if it cannot be reached.
@@ -146,5 +146,5 @@
         if not missing:
             return None
         if loop.time() >= until:
-            return NotReached(sorted(missing))
-        await asyncio.sleep(POLL_S)
+            return Unconfirmed(sorted(missing))
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/topazring/admin/exits.py
+++ b/topazring/admin/exits.py
@@ -5,16 +5,16 @@
 
 __all__ = [
     'EXIT_BAD_INPUT',
-    'EXIT_RACED',
+    'EXIT_CONFLICT',
     'EXIT_REFUSED',
-    'EXIT_UNREACHED',
+    'EXIT_UNREACHABLE',
     'fail',
 ]
 
 EXIT_REFUSED = 1
 EXIT_BAD_INPUT = 2
-EXIT_RACED = 3
-EXIT_UNREACHED = 4
+EXIT_CONFLICT = 3
+EXIT_UNREACHABLE = 4
 
 
 def fail(code: int, text: str) -> typing.NoReturn:
--- a/topazring/admin/main.py
+++ b/topazring/admin/main.py
@@ -21,7 +21,7 @@
 
 __all__ = ['main']
 
-FETCH_S = 2.0
+FETCH_TIMEOUT_S = 2.0
 
 PlatformArg = typing.Annotated[
     str,
@@ -73,9 +73,9 @@
     platform: platform_client.PlatformClient, kind: str, name: str
 ) -> changes.Stored:
     stored = asyncio.run(changes.read_value(platform, kind, name))
-    if isinstance(stored, changes.Lost):
+    if isinstance(stored, changes.NoResponse):
         exits.fail(
-            exits.EXIT_UNREACHED, f'the service is away: {stored.detail}'
+            exits.EXIT_UNREACHABLE, f'the service is away: {stored.detail}'
         )
     return stored
 
@@ -137,13 +137,13 @@
         expected = self.expect or None
         if self.expect is None:
             stored = await changes.read_value(platform, self.kind, self.name)
-            if isinstance(stored, changes.Lost):
+            if isinstance(stored, changes.NoResponse):
                 exits.fail(
-                    exits.EXIT_UNREACHED,
+                    exits.EXIT_UNREACHABLE,
                     f'the service is away: {stored.detail}',
                 )
             expected = stored.revision
-        result = await changes.change(
+        result = await changes.change_value(
             platform, self.kind, self.name, value, expected
         )
         match result:
@@ -151,16 +151,16 @@
                 print(f'accepted as revision {revision}')
             case changes.Unchanged(revision=revision):
                 print(f'unchanged since revision {revision}')
-            case changes.Raced():
+            case changes.Conflict():
                 print('another operator was first; yours is not in force')
                 print(f'theirs, revision {result.revision}:')
-                print(_show(result.theirs))
+                print(_show(result.current))
                 print('yours:')
-                print(_show(result.ours))
-                sys.exit(exits.EXIT_RACED)
-            case changes.Lost(detail=detail):
+                print(_show(result.requested))
+                sys.exit(exits.EXIT_CONFLICT)
+            case changes.NoResponse(detail=detail):
                 exits.fail(
-                    exits.EXIT_UNREACHED,
+                    exits.EXIT_UNREACHABLE,
                     f'whether it is in force is not known: {detail}',
                 )
         if self.wait:
@@ -175,7 +175,7 @@
         )
         if missing is not None:
             names = ', '.join(missing.proxies)
-            exits.fail(exits.EXIT_UNREACHED, f'not confirmed by: {names}')
+            exits.fail(exits.EXIT_UNREACHABLE, f'not confirmed by: {names}')
         print(f'in force on {len(proxies)} proxies')
 
 
@@ -195,7 +195,7 @@
         found = await _client(self.platform).all_changes(catalogue.PREFIX)
         if isinstance(found, key_value.Unavailable):
             exits.fail(
-                exits.EXIT_UNREACHED, f'the service is away: {found.detail}'
+                exits.EXIT_UNREACHABLE, f'the service is away: {found.detail}'
             )
         for change in sorted(found.changes, key=lambda c: c.key):
             _, kind, name = change.key.split('/', 2)
@@ -322,7 +322,7 @@
     found = await platform.all_instances()
     if isinstance(found, key_value.Unavailable):
         exits.fail(
-            exits.EXIT_UNREACHED, f'the service is away: {found.detail}'
+            exits.EXIT_UNREACHABLE, f'the service is away: {found.detail}'
         )
     listed = [json.loads(c.value) for c in found.changes if c.value]
     proxies = [i for i in listed if i['kind'] == 'proxy']
@@ -334,7 +334,7 @@
     url = f'http://{proxy["host"]}:{proxy["operator_port"]}{path}'
     try:
         reply = await httpclient.AsyncHTTPClient().fetch(
-            url, request_timeout=FETCH_S, raise_error=False
+            url, request_timeout=FETCH_TIMEOUT_S, raise_error=False
         )
         return json.loads(reply.body)
     except (OSError, ValueError, TypeError, httpclient.HTTPError):
@@ -377,7 +377,7 @@
 VERBS = frozenset({'get', 'set', 'list', 'validate', 'diff'})
 
 
-def verb_first(words: list[str]) -> list[str]:
+def move_verb_first(words: list[str]) -> list[str]:
     """Let operators write `profile set NAME` for `set profile NAME`.
 
     >>> verb_first(['profile', 'set', 'browse', '{}'])
@@ -391,7 +391,7 @@
 
 def main() -> None:
     """Run the command line."""
-    cappa.invoke(Admin, argv=verb_first(sys.argv[1:]))
+    cappa.invoke(Admin, argv=move_verb_first(sys.argv[1:]))
 
 
 if __name__ == '__main__':
--- a/topazring/admin/tests/test_trace.py
+++ b/topazring/admin/tests/test_trace.py
@@ -49,7 +49,7 @@
 
     def test_story(self):
         """Its own lines, its group's at its proxy, and the promotion."""
-        story = trace.request_story(self.logs, 'r1')
+        story = trace.trace_request(self.logs, 'r1')
         self.assertEqual(
             [
                 ('p1', 'connection lost'),
@@ -62,11 +62,11 @@
 
     def test_bad_lines_are_counted(self):
         """They are not fatal."""
-        self.assertEqual(2, self.logs.bad)
+        self.assertEqual(2, self.logs.skipped_count)
 
     def test_group(self):
         """All proxies, in a span of time."""
-        story = trace.group_story(self.logs, 's', 1100, 1303)
+        story = trace.trace_group(self.logs, 's', 1100, 1303)
         self.assertEqual(['p2', 'p3'], [told.process for told in story])
 
     def test_command(self):
--- a/topazring/admin/trace.py
+++ b/topazring/admin/trace.py
@@ -8,12 +8,12 @@
 import dataclasses
 import json
 
-__all__ = ['Line', 'Logs', 'group_story', 'read', 'render', 'request_story']
+__all__ = ['Line', 'Logs', 'trace_group', 'read', 'render', 'trace_request']
 
 # What a group decided so long before and after a request's lines explains
 # them: a gap without a primary and the request's own time.
-BEFORE_MS = 2500
-AFTER_MS = 300
+CONTEXT_BEFORE_MS = 2500
+CONTEXT_AFTER_MS = 300
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,9 +34,9 @@
     """Hold what was read, and how many lines were none of ours."""
 
     lines: list[Line] = dataclasses.field(default_factory=list)
-    bad: int = 0
+    skipped_count: int = 0
     # Lines that processes dropped because there were too many.
-    dropped: int = 0
+    dropped_count: int = 0
 
 
 def read(raw: collections.abc.Iterable[str], logs: Logs) -> None:
@@ -46,10 +46,10 @@
             continue
         line = _parse(text)
         if line is None:
-            logs.bad += 1
+            logs.skipped_count += 1
             continue
         if line.event == 'lines dropped':
-            logs.dropped += int(line.inputs.get('count', 0))
+            logs.dropped_count += int(line.inputs.get('count', 0))
         logs.lines.append(line)
 
 
@@ -72,7 +72,7 @@
         return None
 
 
-def request_story(logs: Logs, request: str) -> list[Line]:
+def trace_request(logs: Logs, request: str) -> list[Line]:
     """Return a request's lines and what its groups decided around them.
 
     Empty if no line names the request: then it was served in the ordinary
@@ -83,8 +83,8 @@
         return []
     places = {(line.process, line.service) for line in own}
     services = {line.service for line in own}
-    first_ms = min(line.time_ms for line in own) - BEFORE_MS
-    last_ms = max(line.time_ms for line in own) + AFTER_MS
+    first_ms = min(line.time_ms for line in own) - CONTEXT_BEFORE_MS
+    last_ms = max(line.time_ms for line in own) + CONTEXT_AFTER_MS
 
     def belongs(line: Line) -> bool:
         if line.request:
@@ -103,7 +103,7 @@
     return sorted(story, key=lambda line: line.time_ms)
 
 
-def group_story(
+def trace_group(
     logs: Logs, service: str, from_ms: int, to_ms: int
 ) -> list[Line]:
     """Return what all processes decided about a group in a span of time."""
--- a/topazring/admin/trace_command.py
+++ b/topazring/admin/trace_command.py
@@ -42,16 +42,16 @@
         for file in self.files or ['-']:
             _read_log(file, logs)
         if self.group:
-            story = trace.group_story(
+            story = trace.trace_group(
                 logs, self.name, self.from_ms, self.to_ms
             )
         else:
-            story = trace.request_story(logs, self.name)
+            story = trace.trace_request(logs, self.name)
         for row in trace.render(story):
             print(row)
-        if logs.bad or logs.dropped:
+        if logs.skipped_count or logs.dropped_count:
             print(
-                f'({logs.bad} lines were no log lines; {logs.dropped} were '
+                f'({logs.skipped_count} lines were no log lines; {logs.dropped_count} were '
                 'dropped where they were written)',
                 file=sys.stderr,
             )
--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -39,7 +39,7 @@
     """What is accepted is in force everywhere and never goes back."""
 
     async def set_profile(self, fleet, name, expected=None, **values):
-        result = await changes.change(
+        result = await changes.change_value(
             fleet.platform, 'profile', name, profile(**values), expected
         )
         self.assertIsInstance(result, changes.Accepted)
@@ -96,7 +96,7 @@
             async def fault():
                 revision = stored.revision
                 for slots in (2, 4, 3):
-                    result = await changes.change(
+                    result = await changes.change_value(
                         fleet.platform,
                         'database',
                         'calc1',
@@ -127,7 +127,7 @@
             base = await self.set_profile(fleet, 'raced')
             found = await asyncio.gather(
                 *(
-                    changes.change(
+                    changes.change_value(
                         fleet.platform,
                         'profile',
                         'raced',
@@ -138,14 +138,14 @@
                 )
             )
             won = [f for f in found if isinstance(f, changes.Accepted)]
-            lost = [f for f in found if isinstance(f, changes.Raced)]
+            lost = [f for f in found if isinstance(f, changes.Conflict)]
             self.assertEqual((1, 2), (len(won), len(lost)))
             stored = await changes.read_value(
                 fleet.platform, 'profile', 'raced'
             )
             for raced in lost:
-                self.assertEqual(stored.value, raced.theirs)
-                self.assertNotEqual(stored.value, raced.ours)
+                self.assertEqual(stored.value, raced.current)
+                self.assertNotEqual(stored.value, raced.requested)
 
         self.run_on_fleet(steps)
 
@@ -164,7 +164,7 @@
             base = await self.set_profile(fleet, 'lossy')
             await fleet.set_link('p1/platform', backward='drop')
             changing = asyncio.create_task(
-                changes.change(
+                changes.change_value(
                     through,
                     'profile',
                     'lossy',
