--- a/tools/failover_gaps.py
+++ b/tools/failover_gaps.py
@@ -10,10 +10,10 @@
 
 from topazring.admin import trace
 
-__all__ = ['gaps', 'main']
+__all__ = ['measure_failovers', 'main']
 
 
-def gaps(logs: trace.Logs) -> list[tuple[str, str, int, int]]:
+def measure_failovers(logs: trace.Logs) -> list[tuple[str, str, int, int]]:
     """Return service, cause, detection and gap in ms, in order."""
     begun: dict[tuple[str, str], trace.Line] = {}
     found = []
@@ -40,7 +40,7 @@
     """Print a line a failover, then the summary."""
     logs = trace.Logs()
     trace.read(sys.stdin, logs)
-    found = gaps(logs)
+    found = measure_failovers(logs)
     for service, why, detected_ms, gap_ms in found:
         print(f'{service}: {why}: detected {detected_ms}, gap {gap_ms} ms')
     if not found:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -59,7 +59,7 @@
     return tests
 
 
-def load(words: list[str]) -> list[unittest.TestCase]:
+def collect_tests(words: list[str]) -> list[unittest.TestCase]:
     """Return the tests and doctests whose names contain a word."""
     loader = unittest.TestLoader()
     suite = loader.discover(str(ROOT / 'topazring'), top_level_dir=str(ROOT))
@@ -95,7 +95,7 @@
     sys.path.insert(0, str(ROOT))
     red, plays = parse_known_red(KNOWN_RED.read_text())
     words = sys.argv[1:]
-    tests = load(words)
+    tests = collect_tests(words)
     missing = [] if words else unknown(red, tests)
     if missing:
         raise SystemExit(f'{KNOWN_RED.name} names no test: {missing}')
--- a/topazring/bench/fleet.py
+++ b/topazring/bench/fleet.py
@@ -23,8 +23,8 @@
 
 __all__ = ['Fleet', 'wait_until']
 
-START_S = 30.0
-POLL_S = 0.05
+START_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
 class Fleet:
@@ -78,7 +78,7 @@
 
     def upstream_names(self, database: str) -> list[str]:
         """Return the names of a database's upstreams."""
-        count = self.plan.upstreams_each
+        count = self.plan.upstreams_per_database
         return [f'{database}-u{number + 1}' for number in range(count)]
 
     async def spawn(self, name: str) -> None:
@@ -109,7 +109,7 @@
         """Let a stopped process go on."""
         self.send_signal(name, signal.SIGCONT)
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what a process has logged."""
         path = pathlib.Path(self.folder.name) / f'{name}.log'
         return path.read_text(errors='replace')
@@ -119,7 +119,7 @@
     def port(self, name: str) -> int:
         """Return the port of this name, chosen free at first use."""
         if name not in self.ports:
-            self.ports[name] = ports.free()
+            self.ports[name] = ports.find_free_port()
         return self.ports[name]
 
     def _write(self, name: str, value: dict) -> str:
@@ -130,7 +130,7 @@
     def _module(self, module: str, *words: str) -> list[str]:
         return [sys.executable, '-m', module, *words]
 
-    def through(self, link: str, target: str) -> int:
+    def route_port(self, link: str, target: str) -> int:
         """Return the port to reach `target` by, through a link if wanted."""
         if not self.plan.faults:
             return self.port(target)
@@ -165,7 +165,7 @@
 
     def _prepare_upstream(self, database: str, name: str) -> None:
         peers = [
-            {'name': peer, 'port': self.through(f'{name}/{peer}', peer)}
+            {'name': peer, 'port': self.route_port(f'{name}/{peer}', peer)}
             for peer in self.upstream_names(database)
             if peer != name
         ]
@@ -191,9 +191,9 @@
         if self.plan.faults:
             for database in self.plan.databases:
                 for upstream in self.upstream_names(database):
-                    port = self.through(f'{name}/{upstream}', upstream)
+                    port = self.route_port(f'{name}/{upstream}', upstream)
                     routes[upstream] = {'port': port}
-        platform = self.through(f'{name}/platform', 'platform')
+        platform = self.route_port(f'{name}/platform', 'platform')
         seeds = [
             {'port': self.port(f'p{peer + 1} gossip')}
             for peer in range(self.plan.proxies)
@@ -295,7 +295,7 @@
         try:
             await wait_until(ready, f'{proxy} is ready')
         except TimeoutError as error:
-            raise TimeoutError(f'{error}\n{self.log_of(proxy)}') from None
+            raise TimeoutError(f'{error}\n{self.read_log(proxy)}') from None
 
     async def wait_upstream(self, name: str) -> None:
         """Wait until an upstream answers: a primary needs only a majority."""
@@ -366,7 +366,7 @@
         return session
 
 
-async def wait_until(condition, what: str, limit_s: float = START_S):
+async def wait_until(condition, what: str, limit_s: float = START_TIMEOUT_S):
     """Wait for a condition; raise TimeoutError with its name if it fails."""
     loop = asyncio.get_running_loop()
     until = loop.time() + limit_s
@@ -376,4 +376,4 @@
             return found
         if loop.time() > until:
             raise TimeoutError(f'waited {limit_s} s in vain: {what}')
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/topazring/bench/plans.py
+++ b/topazring/bench/plans.py
@@ -13,7 +13,7 @@
     proxies: int = 3
     databases: tuple[str, ...] = ('calc1',)
     organisations: tuple[str, ...] = ('ballinure', 'dizon')
-    upstreams_each: int = 3
+    upstreams_per_database: int = 3
     slots: int = 3
     connections: int = 25
     connect_delay_ms: int = 10
--- a/topazring/bench/ports.py
+++ b/topazring/bench/ports.py
@@ -3,30 +3,30 @@
 import random
 import socket
 
-__all__ = ['free', 'free_many']
+__all__ = ['find_free_port', 'find_free_ports']
 
 # Below the ports that the system gives to outgoing connections; one of those
 # could take a port before its process starts.
-PORTS = (10_000, 32_000)
+PORT_RANGE = (10_000, 32_000)
 
-_given: set[int] = set()
+_allocated: set[int] = set()
 
 
-def free() -> int:
+def find_free_port() -> int:
     """Return a port that nobody listens on, another one each time."""
     while True:
-        port = random.randrange(*PORTS)
-        if port in _given:
+        port = random.randrange(*PORT_RANGE)
+        if port in _allocated:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind(('127.0.0.1', port))
             except OSError:
                 continue
-        _given.add(port)
+        _allocated.add(port)
         return port
 
 
-def free_many(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Return ports that nobody listens on."""
-    return [free() for _ in range(count)]
+    return [find_free_port() for _ in range(count)]
--- a/topazring/bench/slopes.py
+++ b/topazring/bench/slopes.py
@@ -21,7 +21,7 @@
 Rows = list[dict]
 _slopes: dict[str, collections.abc.Callable] = {}
 IDLE_S = 10.0
-SETTLE_S = 3.0
+WARM_UP_S = 3.0
 
 
 def slope(function: collections.abc.Callable) -> collections.abc.Callable:
@@ -70,7 +70,7 @@
         fleet = fleets.Fleet(plan)
         try:
             await fleet.start()
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             found = await watch(fleet, 'p1', IDLE_S)
             rows.append({'databases': count, **found})
             print(rows[-1], flush=True)
@@ -88,7 +88,7 @@
         fleet = fleets.Fleet(plan)
         try:
             await fleet.start()
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             owners = await fleet.owners_of('calc1')
             other = next(
                 f'p{n + 1}' for n in range(count) if f'p{n + 1}' not in owners
@@ -131,7 +131,7 @@
             await fleet.start()
             began = await fleet.get('p1 operator', '/status')
             await _announce(fleet, count)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             after = await fleet.get('p1 operator', '/status')
             found = await watch(fleet, 'p1', IDLE_S)
             used_s = after['processor_s'] - began['processor_s']
@@ -164,7 +164,7 @@
                 await fleet.put(
                     'database', f'y{number}', _far_database(number)
                 )
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             await fleet.kill('p1')
             began = time.monotonic()
             await fleet.spawn('p1')
@@ -221,7 +221,7 @@
         fleet = fleets.Fleet(plans.Plan(proxies=count))
         try:
             await fleet.start()
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             times = []
             before = await fleet.get('p1 operator', '/status')
             for number in range(10):
@@ -272,7 +272,7 @@
         fleet = fleets.Fleet(plans.Plan(proxies=count))
         try:
             await fleet.start()
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(WARM_UP_S)
             row = {'proxies': count}
             row['before, calls/s'] = await _calls(fleet, 10.0)
             fleet.freeze('platform')
--- a/topazring/platform/tests/soak_stage.py
+++ b/topazring/platform/tests/soak_stage.py
@@ -153,7 +153,7 @@
         """Return the port to reach a target by, the same each time."""
         if name not in self.links:
             config = link_settings.LinkSettings(
-                name=name, port=ports.free(), target_port=target_port
+                name=name, port=ports.find_free_port(), target_port=target_port
             )
             self.links[name] = link_faults.Link(config, HOST)
             await self.links[name].start()
@@ -207,12 +207,12 @@
 
     async def start(self) -> None:
         """Start everything, and wait until it is ready."""
-        store_ports = ports.free_many(self.proxies)
+        store_ports = ports.find_free_ports(self.proxies)
         self.store.start(store_ports)
         for number, port in enumerate(store_ports, start=1):
             name = f'p{number}'
             door = await self.links.open(f'{name}/service', port)
-            mine = ports.free_many(4)
+            mine = ports.find_free_ports(4)
             proxy = support.Proxy(name, door, self.folder, mine)
             self.instances.append(proxy)
         for proxy in self.instances:
--- a/topazring/platform/tests/soak_upstreams.py
+++ b/topazring/platform/tests/soak_upstreams.py
@@ -30,7 +30,7 @@
         self.links = links
         self.note = note
         self.group = synchronous_upstreams.Group(
-            support.SERVICE, ports.free_many(UPSTREAMS), note, promote_ms
+            support.SERVICE, ports.find_free_ports(UPSTREAMS), note, promote_ms
         )
         self.group.changed = self._changed
         self.listing: set[asyncio.Task] = set()
@@ -120,7 +120,7 @@
         if len(self.group.members) >= MAX_MEMBERS or not staying:
             return
         old = staying[int(choice * len(staying))]
-        new = self.group.add_replica(ports.free())
+        new = self.group.add_replica(ports.find_free_port())
         await asyncio.sleep(unlisted_ms / 1000)
         await self._list(new)
         await asyncio.sleep(DRAIN_DELAY_S)
--- a/topazring/platform/tests/support.py
+++ b/topazring/platform/tests/support.py
@@ -199,10 +199,12 @@
 
     async def _run(self, steps, proxies: int, folder: str) -> None:
         self.store = fake_store.FakeStore()
-        store_ports = ports.free_many(proxies)
-        self.group = fake_upstreams.FakeGroup(SERVICE, ports.free_many(3))
+        store_ports = ports.find_free_ports(proxies)
+        self.group = fake_upstreams.FakeGroup(
+            SERVICE, ports.find_free_ports(3)
+        )
         self.store.promote = self.promote
-        found = ports.free_many(4 * proxies)
+        found = ports.find_free_ports(4 * proxies)
         self.proxies = [
             Proxy(f'p{number}', port, folder, found[4 * number - 4 :])
             for number, port in enumerate(store_ports, start=1)
--- a/topazring/platform/tests/test_synchronous_upstreams.py
+++ b/topazring/platform/tests/test_synchronous_upstreams.py
@@ -24,7 +24,7 @@
     async def _play(self, steps) -> None:
         self.noted: list[object] = []
         self.group = synchronous_upstreams.Group(
-            SERVICE, ports.free_many(3), self.noted.append, PROMOTE_MS
+            SERVICE, ports.find_free_ports(3), self.noted.append, PROMOTE_MS
         )
         self.group.changed = lambda member: None
         self.group.rng.random = lambda: 1.0
@@ -115,7 +115,7 @@
         self.assertEqual(['primary'] * 2, [old.role, new.role])
         caller = await self.connect(0)
         self.assertTrue(await self.hangs(caller, 'WRITE k v'))
-        newcomer = self.group.add_replica(ports.free())
+        newcomer = self.group.add_replica(ports.find_free_port())
         self.group.cut_pairs.add(frozenset((new.name, newcomer.name)))
         said = await caller.answer()
         self.assertTrue(said[0].startswith('DONE'), said)
--- a/topazring/pooler/tests/fleet.py
+++ b/topazring/pooler/tests/fleet.py
@@ -166,7 +166,7 @@
         self.version = 0
         self.proxies = [
             Proxy(f'p{number}', port, self.service)
-            for number, port in enumerate(ports.free_many(count))
+            for number, port in enumerate(ports.find_free_ports(count))
         ]
 
     async def start(self) -> None:
--- a/topazring/pooler/tests/test_hop.py
+++ b/topazring/pooler/tests/test_hop.py
@@ -128,7 +128,7 @@
         asyncio.run(self._play(steps))
 
     async def _play(self, steps):
-        address = f'127.0.0.1:{ports.free()}'
+        address = f'127.0.0.1:{ports.find_free_port()}'
         self.owner = Owner()
         self.server = hop_server.Server(self.owner)
         self.server.start_at(address)
--- a/topazring/tests/support.py
+++ b/topazring/tests/support.py
@@ -30,7 +30,7 @@
             await steps(fleet)
         except Exception:
             for name in fleet.processes:
-                failure_logs.attach_log(self, name, fleet.log_of(name))
+                failure_logs.attach_log(self, name, fleet.read_log(name))
             raise
         finally:
             await fleet.close()
--- a/topazring/tests/test_failover.py
+++ b/topazring/tests/test_failover.py
@@ -86,7 +86,7 @@
             self.assertTrue(support.acknowledged_by_others(stats, primary))
             self.assertGreater(grown[0], before)
             await self.wait_until_following(fleet, primary)
-            self.assertIn('drops its log', fleet.log_of(primary))
+            self.assertIn('drops its log', fleet.read_log(primary))
 
         self.run_on_fleet(steps, faults=True)
 
--- a/topazring/tests/test_request_outcomes.py
+++ b/topazring/tests/test_request_outcomes.py
@@ -250,7 +250,7 @@
                     # test fail if it hangs.
                     async with asyncio.timeout(30):
                         code = await fleet.processes[name].wait()
-                    self.assertEqual(0, code, fleet.log_of(name))
+                    self.assertEqual(0, code, fleet.read_log(name))
                     await fleet.spawn(name)
                     await fleet.wait_ready(name)
 
