--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,7 @@
-"""Run every test and doctest; pass over just those in KNOWN-RED.txt.
+"""Run every test and doctest; tolerate failures listed in KNOWN-RED.txt.
 
-Usage: python tools/run_tests.py [WORD ...]; with words, only the tests whose
-name contains one of them.
+Usage: python tools/run_tests.py [WORD ...]; with words, run only the tests
+whose name contains one of them.
 """
 
 import doctest
@@ -14,15 +14,16 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
-# Stands in place of a test's name for a fault that only a play shows.
+# Replaces the name of a test in the entry of a fault that only a `play`
+# command shows.
 PLAY = 'play'
 
 
 def parse_known_red(text: str) -> tuple[dict[str, str], list[str]]:
-    """Return the tests that are known to fail with their entries, and plays.
+    """Return the known failures by test name, and the entries of plays.
 
-    Each line that is no comment holds a test's name, or `play`, and what the
-    entry says of it.
+    Each line that is not a comment holds the name of a test, or `play`, and
+    the text of the entry. Raises SystemExit if a test is listed twice.
     """
     tests: dict[str, str] = {}
     plays = []
@@ -40,16 +41,16 @@
 
 
 def unknown(red: dict[str, str], tests: list[unittest.TestCase]) -> list[str]:
-    """Return the entries that name no test.
+    """Return the entries that match no test.
 
-    A name that is mistyped, or of a test that was renamed, would pass over
-    nothing and be believed to.
+    The entry of a mistyped or renamed test would otherwise have no effect
+    without anyone noticing.
     """
     return sorted(red.keys() - {test.id() for test in tests})
 
 
 def flatten(suite: unittest.TestSuite) -> list[unittest.TestCase]:
-    """Return the tests of a suite one by one."""
+    """Return the tests of a suite and its nested suites as a list."""
     tests = []
     for item in suite:
         if isinstance(item, unittest.TestSuite):
@@ -60,7 +61,10 @@
 
 
 def collect_tests(words: list[str]) -> list[unittest.TestCase]:
-    """Return the tests and doctests whose names contain a word."""
+    """Return the tests and doctests whose names contain a word.
+
+    Without words, all of them are returned.
+    """
     loader = unittest.TestLoader()
     suite = loader.discover(str(ROOT / 'topazring'), top_level_dir=str(ROOT))
     tests = flatten(suite)
@@ -75,30 +79,30 @@
 
 
 class Result(unittest.TextTestResult):
-    """Report each test with the time it took."""
+    """Print the duration of tests that take over 5 seconds."""
 
     def startTest(self, test):
-        """Note when the test began."""
-        self.began = time.monotonic()
+        """Record the start time."""
+        self.began_s = time.monotonic()
         super().startTest(test)
 
     def stopTest(self, test):
-        """Print the slow ones."""
-        took = time.monotonic() - self.began
-        if took > 5:
-            self.stream.writeln(f'  {test.id()} took {took:.1f} s')
+        """Print the duration of a slow test."""
+        took_s = time.monotonic() - self.began_s
+        if took_s > 5:
+            self.stream.writeln(f'  {test.id()} took {took_s:.1f} s')
         super().stopTest(test)
 
 
 def main() -> None:
-    """Run; exit 1 if a test fails that is not known to."""
+    """Run the tests; exit 1 on an unlisted failure or if no test ran."""
     sys.path.insert(0, str(ROOT))
     red, plays = parse_known_red(KNOWN_RED.read_text())
     words = sys.argv[1:]
     tests = collect_tests(words)
-    missing = [] if words else unknown(red, tests)
-    if missing:
-        raise SystemExit(f'{KNOWN_RED.name} names no test: {missing}')
+    unmatched = [] if words else unknown(red, tests)
+    if unmatched:
+        raise SystemExit(f'{KNOWN_RED.name} names no test: {unmatched}')
     runner = unittest.TextTestRunner(
         sys.stdout, verbosity=2, resultclass=Result
     )
@@ -118,7 +122,7 @@
     tests: list[unittest.TestCase],
     failed: list[str],
 ) -> None:
-    """Print each entry that was passed over, that passed, or is a play."""
+    """Print the listed tests that ran, whether they failed, and the plays."""
     for test in tests:
         name = test.id()
         if name in red and name in failed:
--- a/topazring/bench/ablations.py
+++ b/topazring/bench/ablations.py
@@ -1,8 +1,8 @@
-"""Break one rule of the core at a time, to see that the walk notices.
+"""Disable one rule of the core at a time and run the random walks.
 
-`python -m topazring.bench.ablations --walks 400` prints, for each rule left
-out, how many random walks break a promise. Zero means that the walk cannot
-tell, and that nothing proves the rule.
+`python -m topazring.bench.ablations --walks 400` prints, for each disabled
+rule, how many random walks violate a guarantee. Zero means that the walks
+don't detect the missing rule, so that they are no evidence that it is needed.
 """
 
 import argparse
@@ -32,25 +32,25 @@
 
 
 def ablation(function: collections.abc.Callable) -> collections.abc.Callable:
-    """Register a context manager that leaves out one rule."""
+    """Register a context manager that disables one rule."""
     _ablations[function.__name__] = function
     return function
 
 
 def ablations() -> dict[str, collections.abc.Callable]:
-    """Return what can be left out, by name."""
+    """Return the ablations by function name."""
     return dict(_ablations)
 
 
 @ablation
 def nothing():
-    """Leave out nothing: the control."""
+    """Disable no rule, as the control."""
     return contextlib.nullcontext()
 
 
 @ablation
 def majority():
-    """Acknowledge on any reply of a replica, whatever it holds."""
+    """Confirm on any reply of a replica, whatever its log position."""
 
     def confirm_all(state, round_id, status, majority):
         state.in_flight.get(status.upstream, {}).pop(round_id, None)
@@ -63,44 +63,46 @@
 
 @ablation
 def log_term_of_holders():
-    """Count holders by the accepted term, whatever their last entry is."""
+    """Count holders by accepted term and position, not last entry's term."""
 
-    def holds(state, status, place):
-        return status.place.position >= place.position
+    def holds(state, status, log_position):
+        return status.place.position >= log_position.position
 
     return mock.patch.object(rounds, '_holds', holds)
 
 
 @ablation
 def round_after_the_request():
-    """Let a round that began earlier confirm a request."""
-    note = rounds.note_status
+    """Let a round that began before a request confirm it."""
+    note_status = rounds.note_status
 
     def note_early(state, round_id, status, majority):
         for waiter in state.waiters.values():
             waiter.first_round = min(waiter.first_round, round_id)
-        return note(state, round_id, status, majority)
+        return note_status(state, round_id, status, majority)
 
     return mock.patch.object(rounds, 'note_status', note_early)
 
 
 @ablation
 def term_before_position():
-    """Promote the longest log instead of the furthest place."""
-    note = promotion.note_fenced
+    """Promote the longest log, ignoring the term of its last entry."""
+    note_fenced = promotion.note_fenced
 
-    def note_by_length(attempt, now_ms, reply):
-        flat = log_positions.LogPosition(1, reply.status.place.position)
-        status = dataclasses.replace(reply.status, place=flat)
+    def note_longest(attempt, now_ms, reply):
+        without_term = log_positions.LogPosition(
+            1, reply.status.place.position
+        )
+        status = dataclasses.replace(reply.status, place=without_term)
         reply = dataclasses.replace(reply, status=status)
-        return note(attempt, now_ms, reply)
+        return note_fenced(attempt, now_ms, reply)
 
-    return mock.patch.object(promotion, 'note_fenced', note_by_length)
+    return mock.patch.object(promotion, 'note_fenced', note_longest)
 
 
 @ablation
 def furthest_log():
-    """Promote any upstream of the majority."""
+    """Promote any fenced upstream of the majority, whatever its log."""
 
     def choose(attempt, now_ms):
         if len(attempt.fenced) < 2:
@@ -115,31 +117,31 @@
 
 @ablation
 def confirmed_primary_read():
-    """Answer a read at the primary without a round."""
-    return _at_once({requests.Kind.READ})
+    """Answer a read at the primary without waiting for a round."""
+    return _answer_without_round({requests.Kind.READ})
 
 
 @ablation
 def unconfirmed():
     """Answer reads and writes as soon as the primary has run them."""
-    return _at_once({requests.Kind.READ, requests.Kind.WRITE})
+    return _answer_without_round({requests.Kind.READ, requests.Kind.WRITE})
 
 
-def _at_once(kinds):
-    ran = results._ran
+def _answer_without_round(kinds):
+    original = results._ran
 
-    def ran_at_once(state, now_ms, work, result):
+    def answer(state, now_ms, work, result):
         if work.request.kind not in kinds or work.at_replica:
-            return ran(state, now_ms, work, result)
+            return original(state, now_ms, work, result)
         done = outcomes.Done(result.rows, result.place, work.upstream)
         return completion.finish(state, work, done)
 
-    return mock.patch.object(results, '_ran', ran_at_once)
+    return mock.patch.object(results, '_ran', answer)
 
 
 @ablation
 def validity_at_replica():
-    """Answer with whatever a replica shows."""
+    """Accept every result of a replica as valid."""
     return mock.patch.object(
         routing, 'valid_at_replica', lambda view, result: True
     )
@@ -147,7 +149,7 @@
 
 @ablation
 def session_token():
-    """Read at a replica without regard to the session's place."""
+    """Read at a replica without regard to the session's log position."""
 
     def required(view, now_ms, request):
         staleness_ms = request.profile.max_staleness_ms
@@ -160,7 +162,7 @@
 
 @ablation
 def staleness():
-    """Read at a replica of any age."""
+    """Read at a replica however stale it is."""
 
     def required(view, now_ms, request):
         if request.profile.max_staleness_ms <= 0:
@@ -172,21 +174,21 @@
 
 @ablation
 def settling():
-    """Say that a write did not run when its answer was lost."""
+    """Report a write as not run if its answer was lost."""
 
-    def reopen(state, now_ms, work, reason):
+    def report_not_run(state, now_ms, work, reason):
         work.result = None
         if work.request.kind is requests.Kind.READ:
             return completion.requeue(state, now_ms, work, reason, False)
-        lost = outcomes.NotRun(reason, 50)
-        return completion.finish(state, work, lost)
+        not_run = outcomes.NotRun(reason, 50)
+        return completion.finish(state, work, not_run)
 
-    return mock.patch.object(completion, 'resolve_in_doubt', reopen)
+    return mock.patch.object(completion, 'resolve_in_doubt', report_not_run)
 
 
 @ablation
 def slot_limit():
-    """Forget how many statements are in work."""
+    """Ignore the statements in flight when counting free slots."""
 
     def free_slots(state, now_ms):
         return dict.fromkeys(state.view.upstreams, 10)
@@ -195,13 +197,16 @@
 
 
 def count_failures(
-    name: str, walks: int, steps: int, first: int = 0
+    name: str, walks: int, steps: int, first_seed: int = 0
 ) -> tuple[int, collections.Counter]:
-    """Return how many walks break a promise, and what happened in all."""
+    """Return how many walks violate a guarantee, and the summed event counts.
+
+    The events are those of the walks without a violation.
+    """
     failed = 0
     counts: collections.Counter = collections.Counter()
     with _ablations[name]():
-        for seed in range(first, first + walks):
+        for seed in range(first_seed, first_seed + walks):
             try:
                 counts.update(random_walks.walk(seed, steps).oracle.counts)
             except oracle.Violation:
@@ -210,7 +215,7 @@
 
 
 def main() -> None:
-    """Print a line for each rule left out."""
+    """Print a line for each disabled rule."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--walks', type=int, default=400)
     parser.add_argument('--steps', type=int, default=400)
@@ -220,11 +225,11 @@
     for name in _ablations:
         if arguments.only not in ('', name):
             continue
-        began = time.monotonic()
+        began_s = time.monotonic()
         failed, counts = count_failures(
             name, arguments.walks, arguments.steps, arguments.first
         )
-        took_s = time.monotonic() - began
+        took_s = time.monotonic() - began_s
         print(
             f'{name:26} {failed:5} of {arguments.walks} walks fail '
             f'({took_s:.0f} s, {dict(counts)})',
--- a/topazring/bench/baselines.py
+++ b/topazring/bench/baselines.py
@@ -1,8 +1,8 @@
-"""Run a proxy with a rule replaced, to compare the product with.
+"""Run a proxy with one rule replaced, as a baseline for comparison.
 
-`python -m topazring.bench.baselines NAME run FILE` takes the place of
-`topazring-proxy run FILE` in an experiment. Some of these break promises;
-that is what they are measured for.
+`python -m topazring.bench.baselines NAME run FILE` replaces
+`topazring-proxy run FILE` in an experiment. Some baselines violate guarantees;
+they are measured for that reason.
 """
 
 import sys
@@ -18,23 +18,23 @@
 
 
 def primary_only():
-    """Read at the primary only."""
-    return [mock.patch.object(routing, 'choose_replica', _never)]
+    """Route every read to the primary."""
+    return [mock.patch.object(routing, 'choose_replica', _choose_none)]
 
 
-def _never(view, now_ms, request, free_slots, leaving):
+def _choose_none(view, now_ms, request, free_slots, leaving):
     return None
 
 
 def blind_replica():
-    """Read at any replica that has room, whatever it holds."""
+    """Read at any replica with a free slot, whatever its log position."""
     return [
-        mock.patch.object(routing, 'choose_replica', _any_replica),
+        mock.patch.object(routing, 'choose_replica', _choose_any_replica),
         ablations.validity_at_replica(),
     ]
 
 
-def _any_replica(view, now_ms, request, free_slots, leaving):
+def _choose_any_replica(view, now_ms, request, free_slots, leaving):
     names = sorted(
         name
         for name in view.upstreams
@@ -47,28 +47,28 @@
 
 
 def unacknowledged():
-    """Answer as soon as the primary has run it; no rounds."""
+    """Answer once the primary has run a request, without a round."""
     return [ablations.unconfirmed()]
 
 
 def no_pause_discount():
-    """Take silence for silence, whether or not this process ran."""
+    """Count the pauses of this process as silence of the upstreams."""
     return [mock.patch.object(suspicion, 'PAUSE_MS', 1_000_000)]
 
 
 def baselines() -> dict:
-    """Return the baselines by name."""
-    found = (
+    """Return the baselines by function name."""
+    functions = (
         primary_only,
         blind_replica,
         unacknowledged,
         no_pause_discount,
     )
-    return {function.__name__: function for function in found}
+    return {function.__name__: function for function in functions}
 
 
 def main() -> None:
-    """Patch as named, then run the proxy's own command line."""
+    """Apply the named baseline, then run the command line of the proxy."""
     name = sys.argv.pop(1)
     for patch in baselines()[name]():
         patch.start()
--- a/topazring/bench/fleet.py
+++ b/topazring/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Run a small fleet: platform, upstreams, proxies, as real processes.
+"""Run a small fleet of real processes: platform, upstreams and proxies.
 
 Only demos, tests and measurements start processes this way; no process of
 the product starts another.
@@ -28,11 +28,11 @@
 
 
 class Fleet:
-    """Own the processes of a fleet and the folder of their settings."""
+    """Manage the processes of a fleet and the directory of their files."""
 
     def __init__(self, plan: plans.Plan):
         self.plan = plan
-        self.folder = tempfile.TemporaryDirectory(prefix='topazring-')
+        self.directory = tempfile.TemporaryDirectory(prefix='topazring-')
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.commands: dict[str, list[str]] = {}
         self.ports: dict[str, int] = {}
@@ -42,10 +42,10 @@
             force_instance=True, max_clients=50
         )
 
-    # ---- life ----
+    # ---- processes ----
 
     async def start(self) -> None:
-        """Start everything and wait until every proxy is ready."""
+        """Start all processes and wait until the fleet can serve requests."""
         await self._start_platform()
         for database in self.plan.databases:
             for name in self.upstream_names(database):
@@ -66,7 +66,7 @@
                 await self.wait_upstream(name)
 
     async def close(self) -> None:
-        """End every process."""
+        """Kill every process and delete the directory."""
         for name in list(self.processes):
             self.send_signal(name, signal.SIGKILL)
         for process in self.processes.values():
@@ -74,7 +74,7 @@
         if self.platform is not None:
             self.platform.close()
         self.http.close()
-        self.folder.cleanup()
+        self.directory.cleanup()
 
     def upstream_names(self, database: str) -> list[str]:
         """Return the names of a database's upstreams."""
@@ -82,56 +82,59 @@
         return [f'{database}-u{number + 1}' for number in range(count)]
 
     async def spawn(self, name: str) -> None:
-        """Start a process, again if it ended."""
-        log = open(pathlib.Path(self.folder.name) / f'{name}.log', 'ab')
+        """Start a process, or restart one that has ended."""
+        log = open(pathlib.Path(self.directory.name) / f'{name}.log', 'ab')
         with log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 *self.commands[name], stdout=log, stderr=log
             )
 
-    def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Signal one of this fleet's own processes, if it still runs."""
+    def send_signal(self, name: str, signal_number: signal.Signals) -> None:
+        """Send a signal to a process of this fleet if it still runs."""
         process = self.processes[name]
         if process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                process.send_signal(number)
+                process.send_signal(signal_number)
 
     async def kill(self, name: str) -> None:
-        """Kill a process."""
+        """Kill a process and wait until it has ended."""
         self.send_signal(name, signal.SIGKILL)
         await self.processes[name].wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+        """Suspend a process with SIGSTOP."""
         self.send_signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume a suspended process."""
         self.send_signal(name, signal.SIGCONT)
 
     def read_log(self, name: str) -> str:
-        """Return what a process has logged."""
-        path = pathlib.Path(self.folder.name) / f'{name}.log'
+        """Return the output of a process so far."""
+        path = pathlib.Path(self.directory.name) / f'{name}.log'
         return path.read_text(errors='replace')
 
     # ---- settings ----
 
     def port(self, name: str) -> int:
-        """Return the port of this name, chosen free at first use."""
+        """Return the port under this name; the first use allocates it."""
         if name not in self.ports:
             self.ports[name] = ports.find_free_port()
         return self.ports[name]
 
-    def _write(self, name: str, value: dict) -> str:
-        path = pathlib.Path(self.folder.name) / f'{name}.json'
+    def _write_settings(self, name: str, value: dict) -> str:
+        path = pathlib.Path(self.directory.name) / f'{name}.json'
         path.write_text(json.dumps(value))
         return str(path)
 
-    def _module(self, module: str, *words: str) -> list[str]:
-        return [sys.executable, '-m', module, *words]
+    def _build_command(self, module: str, *arguments: str) -> list[str]:
+        return [sys.executable, '-m', module, *arguments]
 
     def route_port(self, link: str, target: str) -> int:
-        """Return the port to reach `target` by, through a link if wanted."""
+        """Return the port to reach `target` by.
+
+        If the plan has fault injection, that is the port of a new link.
+        """
         if not self.plan.faults:
             return self.port(target)
         self.links.append(
@@ -147,21 +150,23 @@
         settings = {
             'port': self.port('platform'),
             'list_lag_ms': self.plan.list_lag_ms,
-            'state_file': str(pathlib.Path(self.folder.name) / 'platform.db'),
+            'state_file': str(
+                pathlib.Path(self.directory.name) / 'platform.db'
+            ),
         }
-        file = self._write('platform', settings)
-        self.commands['platform'] = self._module(
-            'topazring.standin.main', 'platform', file
+        path = self._write_settings('platform', settings)
+        self.commands['platform'] = self._build_command(
+            'topazring.standin.main', 'platform', path
         )
         await self.spawn('platform')
         self.platform = platform_client.PlatformClient(
             '127.0.0.1', self.port('platform'), 'fleet'
         )
-        await wait_until(self._platform_answers, 'the platform answers')
+        await wait_until(self._is_platform_up, 'the platform answers')
 
-    async def _platform_answers(self) -> bool:
-        found = await self.platform.get('any')
-        return not isinstance(found, key_value.Unavailable)
+    async def _is_platform_up(self) -> bool:
+        value = await self.platform.get('any')
+        return not isinstance(value, key_value.Unavailable)
 
     def _prepare_upstream(self, database: str, name: str) -> None:
         peers = [
@@ -179,14 +184,14 @@
             'statement_ms': self.plan.statement_ms,
             'lag_ms': self.plan.lag_ms,
         }
-        file = self._write(name, settings)
-        self.commands[name] = self._module(
-            'topazring.standin.main', 'upstream', file
+        path = self._write_settings(name, settings)
+        self.commands[name] = self._build_command(
+            'topazring.standin.main', 'upstream', path
         )
 
     def _prepare_proxy(self, name: str) -> None:
         number = int(name[1:])
-        centres = self.plan.data_centres
+        data_centres = self.plan.data_centres
         routes = {}
         if self.plan.faults:
             for database in self.plan.databases:
@@ -202,7 +207,7 @@
         settings = {
             'name': name,
             'region': 'home',
-            'data_centre': centres[number % len(centres)],
+            'data_centre': data_centres[number % len(data_centres)],
             'caller_port': self.port(f'{name} caller'),
             'hop_port': self.port(f'{name} hop'),
             'gossip_port': self.port(f'{name} gossip'),
@@ -212,17 +217,17 @@
             'routes': routes,
             'limits': {'drain_ms': self.plan.drain_ms},
         }
-        file = self._write(name, settings)
-        words = ('topazring.proxy.main',)
+        path = self._write_settings(name, settings)
+        arguments = ('topazring.proxy.main',)
         if self.plan.baseline:
-            words = ('topazring.bench.baselines', self.plan.baseline)
-        self.commands[name] = self._module(*words, 'run', file)
+            arguments = ('topazring.bench.baselines', self.plan.baseline)
+        self.commands[name] = self._build_command(*arguments, 'run', path)
 
     async def _start_faults(self) -> None:
         settings = {'port': self.port('faults'), 'links': self.links}
-        file = self._write('faults', settings)
-        self.commands['faults'] = self._module(
-            'topazring.standin.main', 'faults', file
+        path = self._write_settings('faults', settings)
+        self.commands['faults'] = self._build_command(
+            'topazring.standin.main', 'faults', path
         )
         await self.spawn('faults')
 
@@ -231,7 +236,7 @@
         await self.post(f'faults/links/{link.replace("/", "%2F")}', modes)
 
     async def post(self, target: str, arguments: dict) -> bytes:
-        """Post to a stand-in; `target` is NAME/PATH."""
+        """Send a POST request to a stand-in; `target` is NAME/PATH."""
         name, _, path = target.partition('/')
         query = '&'.join(f'{k}={v}' for k, v in arguments.items())
         url = f'http://127.0.0.1:{self.port(name)}/{path}?{query}'
@@ -239,7 +244,7 @@
         return reply.body
 
     async def get(self, port_name: str, path: str) -> dict | None:
-        """Get JSON from a process; None if it does not answer."""
+        """Return JSON fetched from a process, or None if that fails."""
         url = f'http://127.0.0.1:{self.port(port_name)}{path}'
         try:
             reply = await self.http.fetch(
@@ -259,9 +264,11 @@
             key = catalogue.hash_key(f'{name}-key')
             await self.put('organisation', name, {'key_sha256': key})
         for database in self.plan.databases:
-            await self.put('database', database, self._database(database))
+            await self.put(
+                'database', database, self._build_database(database)
+            )
 
-    def _database(self, database: str) -> dict:
+    def _build_database(self, database: str) -> dict:
         upstreams = [
             {'name': name, 'port': self.port(name)}
             for name in self.upstream_names(database)
@@ -275,71 +282,74 @@
         }
 
     async def put(self, kind: str, name: str, value: dict) -> None:
-        """Configure something that is not configured yet."""
+        """Create a configured value; raise RuntimeError if that fails."""
         key = f'{catalogue.PREFIX}{kind}/{name}'
         written = await self.platform.put(key, json.dumps(value), None)
         if not isinstance(written, key_value.Written):
-            raise RuntimeError(f'{key}: {written}')
+            raise RuntimeError(f'cannot write {key}: {written}')
 
-    # ---- what is seen ----
+    # ---- status ----
 
     async def wait_ready(self, proxy: str) -> None:
-        """Wait until a proxy is ready and knows all others."""
+        """Wait until a proxy is ready and lists every proxy as a member."""
 
-        async def ready() -> bool:
+        async def is_ready() -> bool:
             status = await self.get(f'{proxy} operator', '/status')
             if status is None or status['state'] != 'ready':
                 return False
             return len(status['members']) == self.plan.proxies
 
         try:
-            await wait_until(ready, f'{proxy} is ready')
+            await wait_until(is_ready, f'{proxy} is ready')
         except TimeoutError as error:
             raise TimeoutError(f'{error}\n{self.read_log(proxy)}') from None
 
     async def wait_upstream(self, name: str) -> None:
-        """Wait until an upstream answers: a primary needs only a majority."""
+        """Wait until an upstream answers.
 
-        async def answers() -> bool:
+        A database has a primary as soon as a majority of them answers.
+        """
+
+        async def is_answering() -> bool:
             return await self.get(name, '/ledger') is not None
 
-        await wait_until(answers, f'{name} answers')
+        await wait_until(is_answering, f'{name} answers')
 
     async def wait_primary(self, database: str) -> str:
-        """Wait until an owner knows a primary; return its name."""
+        """Wait until a database has a primary; return its name."""
 
-        async def known() -> str:
+        async def find_primary() -> str:
             return await self.primary_of(database)
 
-        return await wait_until(known, f'{database} has a primary')
+        return await wait_until(find_primary, f'{database} has a primary')
 
     async def primary_of(self, database: str) -> str:
-        """Return the upstream that leads the highest term, or ''."""
-        best = (0, '')
+        """Return the primary of the highest term, or '' if there is none."""
+        latest = (0, '')
         for name in self.upstream_names(database):
             process = self.processes[name]
             if process.returncode is not None:
                 continue
             ledger = await self.get(name, '/ledger')
             if ledger and ledger['leads']:
-                best = max(best, (ledger['term'], name))
-        return best[1]
+                latest = max(latest, (ledger['term'], name))
+        return latest[1]
 
     async def ledger(self, name: str) -> dict:
-        """Return an upstream's ledger and log."""
+        """Return the ledger and the log of an upstream."""
         return await self.get(name, '/ledger')
 
     async def owners_of(self, database: str) -> list[str]:
         """Return the proxies that own a database, in preference order."""
         for number in range(self.plan.proxies):
             name = f'p{number + 1}'
-            found = await self.get(f'{name} operator', f'/explain/{database}')
-            if found and 'state' in found and found['state']['owners']:
-                return found['state']['owners']
+            reply = await self.get(f'{name} operator', f'/explain/{database}')
+            if reply and 'state' in reply and reply['state']['owners']:
+                return reply['state']['owners']
         return []
 
     def url(self, proxy: str) -> str:
-        """Return the address that callers connect to."""
+        """Return the WebSocket URL at which a proxy accepts callers."""
         return f'ws://127.0.0.1:{self.port(f"{proxy} caller")}/session'
 
     async def session(
@@ -350,7 +360,7 @@
         organisation: str = '',
         token: str = '',
     ) -> client.Session:
-        """Open a session at a proxy."""
+        """Open a session at a proxy; raise RuntimeError if it is refused."""
         organisation = organisation or self.plan.organisations[0]
         session = client.Session(
             self.url(proxy),
@@ -362,18 +372,21 @@
         )
         answer = await session.start()
         if not answer.done:
-            raise RuntimeError(f'no session at {proxy}: {answer}')
+            raise RuntimeError(f'cannot open a session at {proxy}: {answer}')
         return session
 
 
 async def wait_until(condition, what: str, limit_s: float = START_TIMEOUT_S):
-    """Wait for a condition; raise TimeoutError with its name if it fails."""
+    """Wait until a condition holds; return its value.
+
+    Raises TimeoutError, which names the condition, after `limit_s`.
+    """
     loop = asyncio.get_running_loop()
-    until = loop.time() + limit_s
+    deadline_s = loop.time() + limit_s
     while True:
-        found = await condition()
-        if found:
-            return found
-        if loop.time() > until:
-            raise TimeoutError(f'waited {limit_s} s in vain: {what}')
+        value = await condition()
+        if value:
+            return value
+        if loop.time() > deadline_s:
+            raise TimeoutError(f'condition not met within {limit_s} s: {what}')
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/topazring/bench/plans.py
+++ b/topazring/bench/plans.py
@@ -1,4 +1,4 @@
-"""Describe fleets, with the sizes of the brief's two users."""
+"""Define fleet plans, including the sizes of the two users of the brief."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Describe a fleet."""
+    """Define the size and the settings of a fleet."""
 
     data_centres: tuple[str, ...] = ('cork', 'galway')
     proxies: int = 3
@@ -21,14 +21,16 @@
     lag_ms: float = 5.0
     list_lag_ms: int = 1000
     drain_ms: int = 10_000
-    # A baseline of topazring.bench.baselines in place of the product.
+    # Name of a baseline of topazring.bench.baselines that the proxies run;
+    # empty for the unmodified proxy.
     baseline: str = ''
-    # Put a fault-injecting link between each two that talk.
+    # Whether connections from proxies to upstreams and to the platform, and
+    # those between upstreams, pass through fault-injecting links.
     faults: bool = False
 
 
 def ballinure(**changes) -> Plan:
-    """Return Ballinure's sizes, as the brief gives them."""
+    """Return a plan with Ballinure's sizes from the brief."""
     plan = Plan(
         data_centres=('cork', 'galway', 'sligo'),
         proxies=7,
@@ -41,7 +43,7 @@
 
 
 def dizon(**changes) -> Plan:
-    """Return Dizon's sizes, as the brief gives them."""
+    """Return a plan with Dizon's sizes from the brief."""
     plan = Plan(
         data_centres=('quiapo', 'cubao', 'makati', 'pasig'),
         proxies=8,
--- a/topazring/bench/ports.py
+++ b/topazring/bench/ports.py
@@ -1,19 +1,19 @@
-"""Find ports for the processes and servers of a test."""
+"""Allocate TCP ports for the processes and servers of a test."""
 
 import random
 import socket
 
 __all__ = ['find_free_port', 'find_free_ports']
 
-# Below the ports that the system gives to outgoing connections; one of those
-# could take a port before its process starts.
+# Below the ephemeral port range: an outgoing connection could otherwise occupy
+# a port before the process meant for it starts.
 PORT_RANGE = (10_000, 32_000)
 
 _allocated: set[int] = set()
 
 
 def find_free_port() -> int:
-    """Return a port that nobody listens on, another one each time."""
+    """Return an unused port, a different one at each call."""
     while True:
         port = random.randrange(*PORT_RANGE)
         if port in _allocated:
@@ -28,5 +28,5 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on."""
+    """Return `count` different unused ports."""
     return [find_free_port() for _ in range(count)]
