--- a/topazring/core/tests/simulation.py
+++ b/topazring/core/tests/simulation.py
@@ -362,7 +362,7 @@
             name,
             log.accepted_term,
             log.leads,
-            logs.last_place(log),
+            logs.last_position(log),
             0 if log.leads else silent_ms,
         )
 
@@ -373,7 +373,7 @@
         log = self.logs[out.upstream]
         request = out.request
         if out.at_replica:
-            if logs.last_place(log) < out.wait_position:
+            if logs.last_position(log) < out.wait_position:
                 return messages.Refused(Reason.REPLICA_BEHIND)
         elif not log.leads or log.accepted_term != out.term:
             return messages.Refused(
@@ -426,7 +426,7 @@
     def _ran(self, log, repeated=False, cancelled=False, rows=()):
         return messages.Ran(
             list(rows),
-            logs.last_place(log),
+            logs.last_position(log),
             log.accepted_term,
             repeated,
             cancelled,
@@ -460,7 +460,7 @@
 
     def _is_conclusive(self, out: messages.RequestStatus) -> bool:
         log = self.logs[out.upstream]
-        last = logs.last_place(log)
+        last = logs.last_position(log)
         return (
             out.place == log_positions.ORIGIN
             or log.accepted_term > out.term
--- a/topazring/standin/database.py
+++ b/topazring/standin/database.py
@@ -14,13 +14,13 @@
     'find_record',
     'read',
     'rebuild',
-    'run_and_undo',
+    'run_and_roll_back',
 ]
 
-RECORDS = 'topazring_requests'
-RECORD_KEPT_MS = 600_000
-SWEEP_EVERY = 1000
-MOST_ROWS = 5000
+RECORDS_TABLE = 'topazring_requests'
+RECORD_RETENTION_MS = 600_000
+SWEEP_INTERVAL_ENTRIES = 1000
+MAX_ROWS = 5000
 
 Rows = list[list[typing.Any]]
 Statements = typing.Iterable[tuple[str, typing.Sequence[typing.Any]]]
@@ -46,7 +46,7 @@
     )
     applied: int = 0
     # Whether the statement at work is a caller's.
-    guarded: bool = False
+    runs_caller_sql: bool = False
 
 
 # A caller's statement may not end the transaction that it runs in, nor leave
@@ -66,9 +66,9 @@
     """Return the check that SQLite makes of each statement it prepares."""
 
     def authorize(action, name, *_):
-        if not databases.guarded:
+        if not databases.runs_caller_sql:
             return sqlite3.SQLITE_OK
-        if action in FORBIDDEN_ACTIONS or name == RECORDS:
+        if action in FORBIDDEN_ACTIONS or name == RECORDS_TABLE:
             return sqlite3.SQLITE_DENY
         return sqlite3.SQLITE_OK
 
@@ -84,7 +84,7 @@
         )
         connection.set_authorizer(_guard(databases))
         connection.execute(
-            f'CREATE TABLE {RECORDS} (request_id TEXT PRIMARY KEY, '
+            f'CREATE TABLE {RECORDS_TABLE} (request_id TEXT PRIMARY KEY, '
             'cancelled INTEGER NOT NULL, at_ms INTEGER NOT NULL)'
         )
         connection.execute('PRAGMA query_only=ON')
@@ -106,21 +106,21 @@
     statements: Statements,
 ) -> Rows:
     rows: Rows = []
-    databases.guarded = True
+    databases.runs_caller_sql = True
     try:
         for sql, parameters in statements:
             cursor = connection.execute(sql, parameters)
-            rows = [list(row) for row in cursor.fetchmany(MOST_ROWS + 1)]
-            if len(rows) > MOST_ROWS:
-                raise StatementError(f'the answer has over {MOST_ROWS} rows')
+            rows = [list(row) for row in cursor.fetchmany(MAX_ROWS + 1)]
+            if len(rows) > MAX_ROWS:
+                raise StatementError(f'the answer has over {MAX_ROWS} rows')
     except (sqlite3.Error, sqlite3.Warning, ValueError) as error:
         raise StatementError(str(error)) from None
     finally:
-        databases.guarded = False
+        databases.runs_caller_sql = False
     return rows
 
 
-def run_and_undo(
+def run_and_roll_back(
     databases: Databases, organisation: str, statements: Statements
 ) -> Rows:
     """Return what the statements would give, and leave nothing behind."""
@@ -150,7 +150,8 @@
     """Return the request record of an id, if it is kept."""
     connection = _connection(databases, organisation)
     row = connection.execute(
-        f'SELECT cancelled FROM {RECORDS} WHERE request_id=?', (request_id,)
+        f'SELECT cancelled FROM {RECORDS_TABLE} WHERE request_id=?',
+        (request_id,),
     ).fetchone()
     return Record(bool(row[0])) if row else None
 
@@ -168,13 +169,13 @@
         rows = _run(databases, connection, entry.statements)
         if entry.request_id:
             connection.execute(
-                f'INSERT INTO {RECORDS} VALUES (?, ?, ?)',
+                f'INSERT INTO {RECORDS_TABLE} VALUES (?, ?, ?)',
                 (entry.request_id, entry.cancelled, entry.at_ms),
             )
-        if position % SWEEP_EVERY == 0:
+        if position % SWEEP_INTERVAL_ENTRIES == 0:
             connection.execute(
-                f'DELETE FROM {RECORDS} WHERE at_ms < ?',
-                (entry.at_ms - 2 * RECORD_KEPT_MS,),
+                f'DELETE FROM {RECORDS_TABLE} WHERE at_ms < ?',
+                (entry.at_ms - 2 * RECORD_RETENTION_MS,),
             )
     except BaseException:
         _end(connection, 'ROLLBACK')
--- a/topazring/standin/faults.py
+++ b/topazring/standin/faults.py
@@ -19,7 +19,7 @@
 __all__ = ['FaultProxy', 'Mode']
 
 logger = logs.part_logger('faults')
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
 class Mode(enum.StrEnum):
@@ -111,7 +111,7 @@
 
     async def _pump(self, way: str, reader, writer) -> None:
         with contextlib.suppress(ConnectionError, OSError):
-            while chunk := await reader.read(CHUNK):
+            while chunk := await reader.read(CHUNK_BYTES):
                 if self.link.delay_s:
                     await asyncio.sleep(self.link.delay_s)
                 while self.modes[way] is Mode.SILENT:
--- a/topazring/standin/log.py
+++ b/topazring/standin/log.py
@@ -5,7 +5,15 @@
 
 from topazring.core import log_positions
 
-__all__ = ['Entry', 'Log', 'append', 'extend', 'fence', 'last_place', 'lead']
+__all__ = [
+    'Entry',
+    'Log',
+    'append',
+    'extend',
+    'fence',
+    'last_position',
+    'lead',
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,11 +38,11 @@
     claimant: str = ''
     leads: bool = False
     # Whether this upstream has led the accepted term before.
-    led: bool = False
+    has_led: bool = False
     entries: list[Entry] = dataclasses.field(default_factory=list)
 
 
-def last_place(log: Log) -> log_positions.LogPosition:
+def last_position(log: Log) -> log_positions.LogPosition:
     """Return the place of the last entry."""
     if not log.entries:
         return log_positions.ORIGIN
@@ -55,17 +63,17 @@
     log.accepted_term = term
     log.claimant = claimant
     log.leads = False
-    log.led = False
+    log.has_led = False
 
 
 def lead(log: Log, term: int, claimant: str) -> bool:
     """Begin to lead a term that this claimant fenced here."""
     if term != log.accepted_term or claimant != log.claimant:
         return False
-    if log.led:
+    if log.has_led:
         return log.leads
     log.leads = True
-    log.led = True
+    log.has_led = True
     # An older term's entries count as safe only below one of this term.
     log.entries.append(Entry(term))
     return True
@@ -74,7 +82,7 @@
 def append(log: Log, entry: Entry) -> log_positions.LogPosition:
     """Append an entry as the primary."""
     log.entries.append(entry)
-    return last_place(log)
+    return last_position(log)
 
 
 def extend(
--- a/topazring/standin/platform.py
+++ b/topazring/standin/platform.py
@@ -17,11 +17,11 @@
 __all__ = ['Platform']
 
 logger = part_logs.part_logger('platform')
-PROBE_S = 0.5
-PROBES_LOST = 2
-MOST_WAIT_MS = 60_000
+PROBE_INTERVAL_S = 0.5
+MAX_MISSED_PROBES = 2
+MAX_WAIT_MS = 60_000
 # Changes in one answer; the rest is asked for next.
-PAGE = 200
+MAX_PAGE_CHANGES = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
             self.changed.notify_all()
         return self.revision
 
-    def since(self, revision: int, prefix: str) -> list[dict]:
+    def changes_since(self, revision: int, prefix: str) -> list[dict]:
         """Return what changed after a revision, oldest first."""
         found = [
             {'key': key, 'revision': v.revision, 'value': v.value}
@@ -86,11 +86,11 @@
         self.values = Store(config.state_file, 'kv')
         self.instances = Store(config.state_file, 'instances')
         self.leases: dict[str, tuple[str, float]] = {}
-        self.missed: dict[str, int] = {}
+        self.missed_probes: dict[str, int] = {}
         self.calls: dict[str, int] = {}
         self.client = httpclient.AsyncHTTPClient(max_clients=100)
         self.server: httpserver.HTTPServer | None = None
-        self.task: asyncio.Task | None = None
+        self.probe_task: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Listen, and probe the instances."""
@@ -104,19 +104,19 @@
         ]
         self.server = httpserver.HTTPServer(web.Application(routes))
         self.server.listen(self.config.port, self.config.host)
-        self.task = asyncio.create_task(self._probe_forever())
+        self.probe_task = asyncio.create_task(self._probe_forever())
         logger.info('listens on %d', self.config.port)
 
     async def close(self) -> None:
         """Stop listening and probing."""
         self.server.stop()
-        self.task.cancel()
+        self.probe_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await self.task
+            await self.probe_task
 
     async def _probe_forever(self) -> None:
         while True:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             names = [
                 key
                 for key, value in self.instances.values.items()
@@ -139,11 +139,11 @@
         except (OSError, ValueError, httpclient.HTTPError):
             state = None
         if state is None:
-            self.missed[name] = self.missed.get(name, 0) + 1
-            if self.missed[name] >= PROBES_LOST:
+            self.missed_probes[name] = self.missed_probes.get(name, 0) + 1
+            if self.missed_probes[name] >= MAX_MISSED_PROBES:
                 await self._list(name, None, listed.revision)
             return
-        self.missed[name] = 0
+        self.missed_probes[name] = 0
         if state == 'leaving' and known['state'] != 'leaving':
             changed = {**known, 'state': 'leaving'}
             await self._list(name, changed, listed.revision)
@@ -175,16 +175,16 @@
         """Answer with the changes after `since`, waiting for the first."""
         since = int(self.get_argument('since', '0'))
         wait_ms = int(self.get_argument('wait_ms', '0'))
-        until = time.monotonic() + min(wait_ms, MOST_WAIT_MS) / 1000
+        until = time.monotonic() + min(wait_ms, MAX_WAIT_MS) / 1000
         while True:
-            changes = store.since(since, prefix)
+            changes = store.changes_since(since, prefix)
             left_s = until - time.monotonic()
             if changes or left_s <= 0:
                 break
             async with store.changed:
                 with contextlib.suppress(asyncio.TimeoutError):
                     await asyncio.wait_for(store.changed.wait(), left_s)
-        page = changes[:PAGE]
+        page = changes[:MAX_PAGE_CHANGES]
         more = len(page) < len(changes)
         revision = page[-1]['revision'] if more else store.revision
         self.write({'revision': revision, 'changes': page, 'more': more})
@@ -274,7 +274,7 @@
 
     async def put(self, name: str) -> None:
         instance = json.loads(self.request.body)
-        self.platform.missed[name] = 0
+        self.platform.missed_probes[name] = 0
         await self.platform.instances.put(name, json.dumps(instance))
 
     async def delete(self, name: str) -> None:
--- a/topazring/standin/replication.py
+++ b/topazring/standin/replication.py
@@ -16,11 +16,11 @@
 
 logger = part_logs.part_logger('replication')
 
-HEARTBEAT_S = 0.1
-RECONNECT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
+RECONNECT_DELAY_S = 0.1
 # A replica answers each message at once; longer silence is a dead link.
-SILENT_S = 1.0
-BATCH = 256
+REPLICA_TIMEOUT_S = 1.0
+MAX_BATCH_ENTRIES = 256
 
 
 class Append(msgspec.Struct):
@@ -56,7 +56,7 @@
         self.changed = asyncio.Event()
         self.next_position = 1
         self.task: asyncio.Task | None = None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.on_higher_term = None
 
     def start(self) -> None:
@@ -80,23 +80,28 @@
                     url, connect_timeout=1.0
                 )
             except Exception:
-                await asyncio.sleep(RECONNECT_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             await self._serve(socket)
             socket.close()
 
     async def _serve(self, socket) -> None:
         self.next_position = len(self.log.entries) + 1
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         reader = asyncio.create_task(self._read(socket))
         try:
             while self.log.leads and not reader.done():
-                if time.monotonic() - self.heard_at > SILENT_S:
+                if (
+                    time.monotonic() - self.last_received_at
+                    > REPLICA_TIMEOUT_S
+                ):
                     return
                 await self._send(socket)
                 self.changed.clear()
                 with contextlib.suppress(asyncio.TimeoutError):
-                    await asyncio.wait_for(self.changed.wait(), HEARTBEAT_S)
+                    await asyncio.wait_for(
+                        self.changed.wait(), HEARTBEAT_INTERVAL_S
+                    )
         except websocket.WebSocketClosedError:
             # The replica is dialled anew; what it lacks is sent then.
             logger.info('the replica closed the link')
@@ -106,7 +111,7 @@
     async def _send(self, socket) -> None:
         entries = self.log.entries
         start = min(self.next_position, len(entries) + 1)
-        batch = entries[start - 1 : start - 1 + BATCH]
+        batch = entries[start - 1 : start - 1 + MAX_BATCH_ENTRIES]
         before = entries[start - 2].log_term if start > 1 else 0
         message = Append(
             self.log.accepted_term, self.log.name, (before, start - 1), batch
@@ -121,7 +126,7 @@
             raw = await socket.read_message()
             if raw is None:
                 return
-            self.heard_at = time.monotonic()
+            self.last_received_at = time.monotonic()
             reply = decode_acknowledge(raw)
             if reply.accepted_term > self.log.accepted_term:
                 self.on_higher_term(reply.accepted_term)
@@ -140,14 +145,14 @@
     def __init__(self, log: logs.Log, on_extended):
         self.log = log
         self.lag_ms = 0.0
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         self.on_extended = on_extended
 
-    def hear(self, raw: bytes) -> tuple[float, Append, Acknowledge]:
+    def receive(self, raw: bytes) -> tuple[float, Append, Acknowledge]:
         """Note a message's arrival; return when to apply it, and a reply."""
         message = decode_append(raw)
         if message.term >= self.log.accepted_term:
-            self.heard_at = time.monotonic()
+            self.last_received_at = time.monotonic()
         due = time.monotonic()
         if message.entries:
             due += self.lag_ms / 1000
@@ -160,9 +165,9 @@
         self.on_extended(cut)
         return self._acknowledge(fits, after.position)
 
-    def silent_ms(self) -> int:
+    def primary_silent_ms(self) -> int:
         """Return how long nothing was heard of a primary."""
-        return int((time.monotonic() - self.heard_at) * 1000)
+        return int((time.monotonic() - self.last_received_at) * 1000)
 
     def _acknowledge(self, fits: bool, after: int = 0) -> Acknowledge:
         position = len(self.log.entries)
--- a/topazring/standin/upstream.py
+++ b/topazring/standin/upstream.py
@@ -24,7 +24,7 @@
 logger = part_logs.part_logger('upstream')
 Kind = requests.Kind
 Reason = outcomes.Reason
-MOST_TRANSACTION_STATEMENTS = 64
+MAX_TRANSACTION_STATEMENTS = 64
 
 
 class Refusal(Exception):
@@ -42,7 +42,7 @@
         self.config = config
         self.log = logs.Log(config.name)
         self.databases = database.Databases()
-        self.busy = 0
+        self.busy_slots = 0
         self.connections = 0
         self.waiters: set[asyncio.Future] = set()
         # What ran, in order, whether or not it was later cut back.
@@ -94,13 +94,13 @@
                 database.apply_entry(
                     self.databases, entries[position], position + 1
                 )
-        self.notify()
+        self.notify_waiters()
 
     def _step_down(self, term: int) -> None:
         logs.fence(self.log, term, '')
-        self.notify()
+        self.notify_waiters()
 
-    def notify(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake those who wait for a place or a term."""
         waiters = list(self.waiters)
         self.waiters.clear()
@@ -110,7 +110,7 @@
         for sender in self.senders:
             sender.changed.set()
 
-    async def wait_change(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until the log or the term changes."""
         waiter = asyncio.get_running_loop().create_future()
         self.waiters.add(waiter)
@@ -119,14 +119,14 @@
         except asyncio.TimeoutError:
             self.waiters.discard(waiter)
 
-    def silent_ms(self) -> int:
+    def primary_silent_ms(self) -> int:
         """Return how long this replica heard nothing of a primary."""
-        return 0 if self.log.leads else self.receiver.silent_ms()
+        return 0 if self.log.leads else self.receiver.primary_silent_ms()
 
     # ---- statements ----
 
     async def run(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.Open | None
+        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
     ) -> wire.SqlReply:
         """Run one ask on a slot; say what became of it."""
         try:
@@ -144,26 +144,26 @@
         except database.StatementError as error:
             return self._reply(ask, 'failed', reason=str(error))
         finally:
-            self.busy -= 1
+            self.busy_slots -= 1
 
     def _take_slot(self) -> None:
-        if self.busy >= self.config.slots:
+        if self.busy_slots >= self.config.slots:
             raise Refusal(Reason.SLOTS_BUSY)
-        self.busy += 1
+        self.busy_slots += 1
 
     async def _reach(self, ask: wire.SqlAsk) -> None:
         wanted = log_positions.LogPosition(
             ask.wait_log_term, ask.wait_position
         )
         until = time.monotonic() + ask.wait_ms / 1000
-        while logs.last_place(self.log) < wanted:
+        while logs.last_position(self.log) < wanted:
             left_s = until - time.monotonic()
             if left_s <= 0:
                 raise Refusal(Reason.REPLICA_BEHIND)
-            await self.wait_change(left_s)
+            await self.wait_for_change(left_s)
 
     def _run_now(
-        self, ask: wire.SqlAsk, opened: upstream_sockets.Open | None
+        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
     ) -> wire.SqlReply:
         """Run without giving way, so that nothing comes between."""
         if not ask.at_replica:
@@ -210,7 +210,7 @@
             self.databases, ask.organisation, ask.request_id
         )
         if record is None:
-            kept_ms = database.RECORD_KEPT_MS
+            kept_ms = database.RECORD_RETENTION_MS
             if request_ids.is_too_old(
                 ask.request_id, clock.wall_ms(), kept_ms
             ):
@@ -235,36 +235,40 @@
         rows = database.apply_entry(self.databases, entry, position)
         logs.append(self.log, entry)
         self._note(ask, 'cancel' if cancelled else 'write')
-        self.notify()
+        self.notify_waiters()
         return self._reply(ask, 'ran', rows=rows, cancelled=cancelled)
 
-    def _execute(self, ask: wire.SqlAsk, opened: upstream_sockets.Open | None):
+    def _execute(
+        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+    ):
         if opened is None or opened.term != ask.term:
             raise Refusal(Reason.TRANSACTION_LOST)
-        if len(opened.statements) >= MOST_TRANSACTION_STATEMENTS:
+        if len(opened.statements) >= MAX_TRANSACTION_STATEMENTS:
             raise database.StatementError('the transaction is too long')
-        rows = database.run_and_undo(
+        rows = database.run_and_roll_back(
             self.databases,
             opened.organisation,
             [*opened.statements, *ask.statements],
         )
         opened.statements += ask.statements
-        opened.shown.append(rows)
+        opened.results.append(rows)
         return self._reply(ask, 'ran', rows=rows)
 
-    def _commit(self, ask: wire.SqlAsk, opened: upstream_sockets.Open | None):
+    def _commit(
+        self, ask: wire.SqlAsk, opened: upstream_sockets.OpenTransaction | None
+    ):
         if opened is None or opened.term != ask.term:
             raise Refusal(Reason.TRANSACTION_LOST)
         record = self._find_record(ask)
         if record is not None:
             return record
         for count in range(1, len(opened.statements) + 1):
-            rows = database.run_and_undo(
+            rows = database.run_and_roll_back(
                 self.databases,
                 opened.organisation,
                 opened.statements[:count],
             )
-            if rows != opened.shown[count - 1]:
+            if rows != opened.results[count - 1]:
                 raise Refusal(Reason.CONFLICT)
         return self._append(ask, opened.statements, cancelled=False)
 
@@ -286,7 +290,7 @@
         rows: list | None = None,
         **more,
     ) -> wire.SqlReply:
-        place = logs.last_place(self.log)
+        place = logs.last_position(self.log)
         return wire.SqlReply(
             ask.id,
             result,
--- a/topazring/standin/upstream_sockets.py
+++ b/topazring/standin/upstream_sockets.py
@@ -18,7 +18,7 @@
 __all__ = [
     'ControlSocket',
     'LedgerHandler',
-    'Open',
+    'OpenTransaction',
     'ReplicateSocket',
     'SetHandler',
     'SqlSocket',
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Open:
+class OpenTransaction:
     """Hold an interactive transaction: what ran and what it showed.
 
     Its statements run again at commit. If they show something else by then,
@@ -38,7 +38,7 @@
     organisation: str
     term: int
     statements: list = dataclasses.field(default_factory=list)
-    shown: list = dataclasses.field(default_factory=list)
+    results: list = dataclasses.field(default_factory=list)
 
 
 class _CountedSocket(websocket.WebSocketHandler):
@@ -76,15 +76,15 @@
 class SqlSocket(_CountedSocket):
     """Serve statements, one at a time, and perhaps a transaction."""
 
-    opened: Open | None = None
+    open_transaction: OpenTransaction | None = None
 
     async def on_message(self, raw) -> None:
         ask = wire.decode_sql_ask(raw)
-        reply = await self.upstream.run(ask, self.opened)
+        reply = await self.upstream.run(ask, self.open_transaction)
         if reply.result == 'ran' and ask.kind == Kind.BEGIN:
-            self.opened = Open(ask.organisation, ask.term)
+            self.open_transaction = OpenTransaction(ask.organisation, ask.term)
         elif ask.kind in (Kind.COMMIT, Kind.ROLLBACK):
-            self.opened = None
+            self.open_transaction = None
         sockets.write_if_open(self, wire.encode(reply))
 
 
@@ -104,21 +104,21 @@
         accepted = True
         if ask.kind == 'fence':
             accepted = logs.fence(log, ask.term, ask.claimant)
-            self.upstream.notify()
+            self.upstream.notify_waiters()
         elif ask.kind == 'lead':
             accepted = logs.lead(log, ask.term, ask.claimant)
             self.upstream.databases.applied = len(log.entries)
-            self.upstream.notify()
+            self.upstream.notify_waiters()
         elif ask.wait_ms:
             await self._wait(ask)
-        place = logs.last_place(log)
+        place = logs.last_position(log)
         reply = wire.ControlReply(
             ask.id,
             log.accepted_term,
             place.log_term,
             place.position,
             log.leads,
-            self.upstream.silent_ms(),
+            self.upstream.primary_silent_ms(),
             accepted,
         )
         sockets.write_if_open(self, wire.encode_control(reply), True)
@@ -128,12 +128,12 @@
         wanted = log_positions.LogPosition(ask.log_term, ask.position)
         until = time.monotonic() + ask.wait_ms / 1000
         while log.accepted_term <= ask.term:
-            place = logs.last_place(log)
+            place = logs.last_position(log)
             left_s = until - time.monotonic()
             held = place.log_term == ask.term and place >= wanted
             if held or wanted == log_positions.ORIGIN or left_s <= 0:
                 return
-            await self.upstream.wait_change(left_s)
+            await self.upstream.wait_for_change(left_s)
 
 
 class ReplicateSocket(websocket.WebSocketHandler):
@@ -148,7 +148,7 @@
         self.worker = asyncio.create_task(self._work())
 
     def on_message(self, raw) -> None:
-        due, message, reply = self.upstream.receiver.hear(raw)
+        due, message, reply = self.upstream.receiver.receive(raw)
         self._send(reply)
         self.inbox.put_nowait((due, message))
 
