--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -52,7 +52,9 @@
         replica cannot reach. The promoting proxy resumes that replica, which
         follows the old primary and confirms a write there, before the proxy
         that sent the write has queried the successor. The successor named in
-        the list must be taken into account before it replies.
+        the list must be taken into account before it replies. In the walk u4
+        leads at 2371 ms, p1 has it from the list at 2376 ms and sends a write
+        to u1 at 2452 ms, and acknowledges it at 2470 ms, when u3 holds it.
         """
         driver = self.list_successor()
         self.assertNotIsInstance(write(driver, 'u3'), outcomes.Done)
@@ -64,7 +66,9 @@
         successor stops within 300 ms of its promotion and is recreated empty.
         The old primary continues, and a proxy that did not see the promotion
         sends it a write. The claim to lead must not be discarded together
-        with the upstream that made it.
+        with the upstream that made it. In the walk u3 leads at 3949 ms, p2
+        has it from the list at 3985 ms, u3 is recreated at 4455 ms, and p2
+        sends a write to u1 at 4838 ms and acknowledges it at 5062 ms.
         """
         driver = self.recreate_successor()
         driver.open_all()
@@ -104,7 +108,9 @@
         Guards against the same failure as above (random walk 5698): the
         successor is gone before this proxy learns of it, and a member that
         followed it reports a log position of the newer term. Checking only
-        the upstream that is listed as primary is not enough.
+        the upstream that is listed as primary is not enough. In the walk u3
+        reports 2.1 at 4051 ms, and a write of term 1 at u1 is acknowledged at
+        4052 ms.
         """
         driver = support.Driver().ready(names=('u1', 'u2', 'u3', 'u4'))
         key, _ = driver.submit(verb=WRITE)
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -171,6 +171,8 @@
         successor report shorter logs, and the successor is ordered. It is not
         enough that the successor holds what the paused replicas report: they
         hold all acknowledged writes only once they have followed the primary.
+        In the walk u2 was ordered at 1.7 at 4473 ms, with u3 and u4 at 0.0,
+        and u4 was ordered as the successor at 0.0 at 5311 ms.
         """
         driver = self.make_leaving()
         driver.state.primary_start = position_records.PrimaryStart(
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -218,7 +218,10 @@
         self.assertNotIsInstance(outcome, outcomes.Done)
 
     def test_successor_that_is_new(self):
-        """Guards against blocked writes if all established members pause."""
+        """Guards against blocked writes.
+
+        They would block if all established members are paused.
+        """
         driver = self.confirmed(held_term=2)
         outcome = support.answers(driver.outs).get(self.key)
         self.assertIsInstance(outcome, outcomes.Done)
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -263,6 +263,8 @@
         replica and is lost, and that replica succeeds it. The other replica
         receives nothing, so the new primary counts as lost and is demoted.
         Its entries beyond the other log must not all count as unconfirmed.
+        In the walk u2 was ordered at 1.7 at 3970 ms, with u3 at 1.6, u2 was
+        demoted at 4134 ms, and u3 was ordered at 1.6 at 4143 ms.
         """
         driver = failover_support.make_lease_holder()
         self.promote_u2(driver)
--- a/topazring/core/synchronous/tests/test_sessions.py
+++ b/topazring/core/synchronous/tests/test_sessions.py
@@ -77,7 +77,7 @@
         """It is rejected locally.
 
         A refusal by the upstream would count as one of an upstream that does
-        not lead, and the primary would be result for replaced.
+        not lead, and the primary would be taken for replaced.
         """
         session = new_session()
         submit(session, Verb.BEGIN, read_only=True)
--- a/topazring/core/tests/test_forwarding.py
+++ b/topazring/core/tests/test_forwarding.py
@@ -45,11 +45,12 @@
     """A request that may have run is never reported as not run."""
 
     def test_no_sequence_misreports_not_run(self):
-        """A write is reported as not run although it ran.
+        """No request that was sent is reported as not run.
 
-        This happens if a refusal by the second owner is taken as the outcome
-        of the copy sent to the first one. Covers all sequences of owners that
-        are lost before or after sending, or unable to serve the request.
+        Guards against a write reported as not run although it ran, if a
+        refusal by the second owner is taken as the outcome of the copy sent to
+        the first one. Covers all sequences of owners that are lost before or
+        after sending, or unable to serve the request.
         """
         answers = (SENT, UNSENT, UNAVAILABLE)
         for count in range(4):
@@ -63,11 +64,12 @@
                             )
 
     def test_refusal_of_a_second_copy(self):
-        """A write is reported as not run although it ran.
+        """The refusal of a second copy is no outcome of the first one.
 
-        The answer to a repeatable write is lost on its way from the first
-        owner, and the second owner refuses its copy, which it takes for the
-        only one. That refusal is passed on as the outcome of the write.
+        Guards against a write reported as not run although it ran. The answer
+        to a repeatable write is lost on its way from the first owner, and the
+        second owner refuses its copy, which it takes for the only one. That
+        refusal was passed on as the outcome of the write.
         """
         refused = outcomes.NotRun(Reason.OVERLOAD, 100)
         _, outcome = run(Kind.WRITE, [SENT, refused], repeatable=True)
--- a/topazring/core/tests/test_limits.py
+++ b/topazring/core/tests/test_limits.py
@@ -54,10 +54,11 @@
         self.assertEqual((50.0, 5.0), (long, short))
 
     def test_long_queue_waits_for_later_requests_of_others(self):
-        """Writes of a flooding organisation start too late and end in doubt.
+        """The estimated wait includes later requests of other organisations.
 
-        One queue is long, the others are short but refilled constantly, and
-        the estimate counts only the requests that wait now.
+        Guards against writes of a flooding organisation that start too late
+        and end in doubt. One queue is long, the others are short but refilled
+        constantly, and the estimate counted only the requests waiting now.
         """
         for key in range(8):
             admission.push(self.queue, 'flood', key, key)
@@ -116,11 +117,11 @@
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge())
 
     def test_only_the_local_link_is_cut(self):
-        """A proxy that loses its network starts a promotion.
+        """An owner's own timeouts are no failure of the primary.
 
-        New connections of one owner time out while the replicas have contact
-        to the primary all the time. The owner's own timeouts are taken as a
-        failure of the primary.
+        Guards against a promotion because one proxy lost its network. New
+        connections of one owner time out while the replicas have contact to
+        the primary all the time.
         """
         suspicion.note_failure(self.evidence, 1000, 'silent_new')
         self.assertEqual(suspicion.Verdict.LOCAL_FAILURE, self.judge())
@@ -135,10 +136,10 @@
         self.assertEqual(suspicion.Verdict.SUSPECT, self.judge())
 
     def test_own_pause_discounts_silence(self):
-        """A proxy that was stopped for a second starts a failover.
+        """The time of a local pause is not counted as the primary's silence.
 
-        When it resumes, all its probes are overdue, and the time in which it
-        did not run is counted as silence of the primary.
+        Guards against a failover started by a proxy that was stopped for a
+        second. When it resumes, all its probes are overdue.
         """
         suspicion.note_failure(self.evidence, 1000, 'silent_new')
         self.replicas(600)
--- a/topazring/core/tests/test_placement.py
+++ b/topazring/core/tests/test_placement.py
@@ -30,10 +30,11 @@
         return hashing.choose_owners(name, self.databases[name], candidates, 2)
 
     def test_joins_and_departures(self):
-        """Two proxies disagree permanently on the owners of a database.
+        """The cached candidates equal those of a full computation.
 
-        After many joins and departures in differing batches, the cached
-        candidates lack one that a full computation would find.
+        Guards against two proxies that disagree permanently on the owners of a
+        database. After many joins and departures in differing batches, the
+        cached candidates lack one that a full computation would find.
         """
         present = set(range(40))
         for _ in range(60):
--- a/topazring/core/tests/test_revisions.py
+++ b/topazring/core/tests/test_revisions.py
@@ -119,10 +119,11 @@
         stateful.run_state_machine_as_test(SpreadMachine, settings=settings)
 
     def test_gap_is_not_hidden(self):
-        """A proxy uses an outdated profile permanently.
+        """A delta that leaves a gap is not applied.
 
-        A delta is lost and the next one arrives. Applying that one would
-        move the proxy past the lost changes, which are then never sent again.
+        Guards against a proxy that uses an outdated profile permanently. A
+        delta is lost and the next one arrives. Applying that one would move
+        the proxy past the lost changes, which are then never sent again.
         """
         state = revisions.Revisions(seen=3)
         change = revisions.Change('a', 7, 'x')
--- a/topazring/core/tests/test_rounds.py
+++ b/topazring/core/tests/test_rounds.py
@@ -38,13 +38,14 @@
         self.assertEqual([7], [waiter.key for waiter in found])
 
     def test_round_from_before_the_read(self):
-        """A strict read at a replaced primary misses an acknowledged write.
-
-        A round begins, and a replica that is still at the old term sends its
-        status. Then the replica is fenced, a new primary is promoted and a
-        write is acknowledged. The old primary, which the fence did not reach,
-        serves the read, and the old status arrives. It must not confirm the
-        read, since it says nothing about the time after it.
+        """A status from before a read does not confirm the read.
+
+        Guards against a strict read at a replaced primary that misses an
+        acknowledged write. A round begins, and a replica that is still at the
+        old term sends its status. Then the replica is fenced, a new primary is
+        promoted and a write is acknowledged. The old primary, which the fence
+        did not reach, serves the read, and the old status arrives. It must not
+        confirm the read, since it says nothing about the time after it.
         """
         rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
         requests = self.start_round()
@@ -55,12 +56,13 @@
         self.assertIn(2, self.state.waiters)
 
     def test_longer_tail_of_an_older_term(self):
-        """A write that only the primary holds is acknowledged.
+        """A log position of an older term confirms no write.
 
-        It is lost at the next promotion. A replica has a long tail of a
+        Guards against acknowledging a write that only the primary holds and
+        that is lost at the next promotion. A replica has a long tail of a
         replaced primary's log, accepts the new term, and reports its status
-        before the new primary has truncated its log. Its position is past
-        the write's, but in another log.
+        before the new primary has truncated its log. Its position is past the
+        write's, but in another log.
         """
         rounds.add_waiter(self.state, 1, LogPosition(2, 5), 0)
         requests = self.start_round()
@@ -103,13 +105,14 @@
     """Status requests that were never sent are repeated."""
 
     def test_ask_before_the_connection_is_open(self):
-        """A read waits for a round whose requests were never sent.
+        """Requests dropped before the connections are open are sent again.
 
-        During a rolling restart a read ends as not confirmed, although every
+        Guards against a read that waits for a round whose requests were never
+        sent: during a rolling restart it ends as not confirmed, although every
         upstream answers. A proxy becomes an owner and serves a read at the
         primary before the connections to the replicas are open. The status
-        requests are dropped, but count as in flight for two seconds, because
-        the core is not notified.
+        requests are dropped, but counted as in flight for two seconds, because
+        the core was not notified.
         """
         state = states.make_owner(
             'p1',
--- a/topazring/core/tests/test_second_promotion.py
+++ b/topazring/core/tests/test_second_promotion.py
@@ -1,8 +1,8 @@
-"""Two owners promote, one shortly after the other.
+"""Test that no two owners promote, one shortly after the other.
 
-The first write of a fleet that has just started, or a write just after a
-failover, is answered `not_run`, `cancelled`, and a healthy primary is
-replaced. There are two causes:
+Guards against the first write of a fleet that has just started, or a write
+just after a failover, being answered `not_run`, `cancelled`, and against
+replacing a healthy primary. There were two causes:
 
 One owner promotes, and 84 ms later another, whose view still has no primary,
 promotes under a higher term; the writes that the first primary had accepted
--- a/topazring/core/tests/test_windows.py
+++ b/topazring/core/tests/test_windows.py
@@ -6,8 +6,8 @@
 entry's stream. The owner answers no ping for 1.5 s, so the entries consider
 it unresponsive and send all these requests to the next owner to resolve them,
 ahead of anything else there. This was seen in the logs of the proxies beside
-40 busy processes: "p3 went silent" and then "986 left deadline (0 wait, 1691
-in hand)" at the next owner.
+40 busy processes: "p3 went silent" (now "p3 did not answer a ping; closing the
+stream") and then "986 left deadline (0 wait, 1691 in hand)" at the next owner.
 """
 
 import testtools
@@ -40,10 +40,11 @@
         self.assertEqual(33, self.fill('third', 80))
 
     def test_more_organisations_than_the_limit(self):
-        """Hundreds of ordinary organisations are all refused.
+        """Each organisation gets one request admitted.
 
-        A flood fills the window, and more organisations than its limit send
-        a request each, so that the equal share is less than one.
+        Guards against refusing all of hundreds of ordinary organisations. A
+        flood fills the window, and more organisations than its limit send a
+        request each, so that the equal share is less than one.
         """
         self.fill('flood', 3000)
         sent = [self.fill(f'ordinary-{n}', 2) for n in range(300)]
