--- a/topazring/core/synchronous/tests/failover_support.py
+++ b/topazring/core/synchronous/tests/failover_support.py
@@ -4,7 +4,7 @@
 from topazring.core.synchronous import state as states
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 OrderResult = messages.OrderResult
 
 
@@ -24,13 +24,15 @@
     return driver
 
 
-def answer_control_commands(driver: support.Driver, **received: Place) -> list:
+def answer_control_commands(
+    driver: support.Driver, **received: LogPosition
+) -> list:
     """Answer every pause, status query and resume."""
     outs = []
     for connection in driver.busy():
         if connection.purpose is not states.Purpose.CONTROL:
             continue
-        place = received.get(connection.upstream, Place(1, 5))
+        place = received.get(connection.upstream, LogPosition(1, 5))
         command = connection.commands[0]
         held_term = getattr(command, 'term', 0)
         outs += driver.reply(
--- a/topazring/core/synchronous/tests/proof_support.py
+++ b/topazring/core/synchronous/tests/proof_support.py
@@ -5,7 +5,7 @@
 from topazring.core.synchronous.tests import support
 
 Code = statements.Code
-Place = support.Place
+LogPosition = support.Place
 
 
 def answer_read(driver: support.Driver, key: int) -> list:
@@ -21,7 +21,7 @@
     outs = []
     for connection in driver.busy(upstream):
         if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
-            last = support.ok(place=first.place or Place(1, 5))
+            last = support.ok(place=first.place or LogPosition(1, 5))
             outs += driver.reply(connection, first, last)
     return outs
 
--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -12,7 +12,7 @@
 from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 Role = support.Role
 
 
@@ -83,7 +83,7 @@
         key, _ = driver.submit(support.EXACT)
         outs = proof_support.answer_read(driver, key)
         outs += proof_support.answer_leadership_checks(
-            driver, 'u2', support.ok(place=Place(2, 9))
+            driver, 'u2', support.ok(place=LogPosition(2, 9))
         )
         outs += proof_support.answer_leadership_checks(
             driver, 'u3', proof_support.REFUSED
@@ -97,7 +97,11 @@
             )
             outs += driver.tick(20)
         self.assertNotIn(key, support.answers(outs))
-        newer = {'role': Role.PRIMARY, 'term': 2, 'received': Place(2, 9)}
+        newer = {
+            'role': Role.PRIMARY,
+            'term': 2,
+            'received': LogPosition(2, 9),
+        }
         for _ in range(3):
             proof_support.answer_status_queries(driver, 'u2', **newer)
             driver.tick(20)
@@ -105,7 +109,7 @@
             driver.tick(20)
             proof_support.answer_leadership_checks(driver, 'u1', support.ok())
             proof_support.answer_leadership_checks(
-                driver, 'u2', support.ok(place=Place(2, 9))
+                driver, 'u2', support.ok(place=LogPosition(2, 9))
             )
         self.assertEqual('u2', driver.state.primary)
         self.assertIn(
--- a/topazring/core/synchronous/tests/test_concurrency_limit.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -10,7 +10,7 @@
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 Reason = outcomes.Reason
 Verb = support.Verb
 
@@ -20,8 +20,8 @@
     driver = support.Driver(share).ready()
     for name in ('u2', 'u3'):
         upstream = driver.state.upstreams[name]
-        upstream.place = Place(1, 1)
-        upstream.missing_place = Place(1, 2)
+        upstream.place = LogPosition(1, 1)
+        upstream.missing_place = LogPosition(1, 2)
         upstream.lagging_ms = driver.now_ms
         upstream.lagging_pause_ms = 10_000
     return driver
--- a/topazring/core/synchronous/tests/test_confirmations.py
+++ b/topazring/core/synchronous/tests/test_confirmations.py
@@ -11,12 +11,12 @@
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
-Place = support.Place
+LogPosition = support.Place
 WRITE = support.Verb.WRITE
 FOUR = ('u1', 'u2', 'u3', 'u4')
 # The end of the primary's log with the write, and without it.
-WITH = Place(1, 6)
-WITHOUT = Place(1, 5)
+WITH = LogPosition(1, 6)
+WITHOUT = LogPosition(1, 5)
 
 
 def confirm(driver: support.Driver, key: int) -> list:
@@ -119,7 +119,7 @@
     def test_log_of_a_newer_term_proves_nothing(self):
         """Its log position is higher, but its log may lack the write."""
         driver = self.confirmed()
-        reported = {'received': Place(2, 9), 'term': 2}
+        reported = {'received': LogPosition(2, 9), 'term': 2}
         test_isolation.run_for(driver, 100, 'u1', 'u4', **reported)
         self.assertNotIsInstance(self.outcome(driver), outcomes.Done)
 
@@ -178,7 +178,7 @@
         confirm(driver, first)
         driver.now_ms += 1
         later = driver.running(second)
-        driver.reply(later, support.ok('signed', place=Place(1, 7)))
+        driver.reply(later, support.ok('signed', place=LogPosition(1, 7)))
         queries = [
             c
             for c in driver.busy('u2')
--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -9,13 +9,13 @@
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
-Place = support.Place
+LogPosition = support.Place
 WRITE = support.Verb.WRITE
 
 
 def write(driver: support.Driver, *names: str) -> outcomes.Outcome | None:
     """Have `u1` confirm a write while the named replicas report holding it."""
-    held = Place(1, 6)
+    held = LogPosition(1, 6)
     key, _ = driver.submit(verb=WRITE)
     work = driver.state.work.get(key)
     if work is not None and work.running:
@@ -115,9 +115,9 @@
         driver = support.Driver().ready(names=('u1', 'u2', 'u3', 'u4'))
         key, _ = driver.submit(verb=WRITE)
         connection = driver.running(key)
-        held = Place(1, 6)
+        held = LogPosition(1, 6)
         driver.reply(connection, support.ok('signed', place=held))
-        newer = {'received': Place(2, 1), 'term': 2}
+        newer = {'received': LogPosition(2, 1), 'term': 2}
         test_isolation.run_for(driver, 40, 'u3', **newer)
         test_isolation.run_for(driver, 100, 'u2', 'u4', received=held)
         outcome = support.answers(driver.outs).get(key)
@@ -149,10 +149,10 @@
         driver.tick(20)
         driver.answer_leadership_checks(primary='u2')
         key, _ = driver.submit(verb=WRITE)
-        report = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
+        report = {'received': LogPosition(2, 6), 'term': 2, 'held_term': 0}
         proof_support.answer_status_queries(driver, 'u3', **report)
         connection = driver.running(key)
-        place = Place(2, 6)
+        place = LogPosition(2, 6)
         driver.reply(connection, support.ok('signed', place=place))
         for _ in range(5):
             driver.tick(20)
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -8,7 +8,7 @@
 from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 NO_PRIMARIES: frozenset[str] = frozenset()
 
 
@@ -19,17 +19,17 @@
         """A log position queried before the departure is not a bound."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.record_primary_place(999, Place(1, 7))
-        high = Place(9, 9)
+        departed.record_primary_place(999, LogPosition(1, 7))
+        high = LogPosition(9, 9)
         self.assertEqual(['u3'], departed.may_exceed(1000, high, NO_PRIMARIES))
 
     def test_bounded_by_first_position_after_departure(self):
         """The departed member cannot hold writes made after it left."""
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.record_primary_place(1001, Place(1, 7))
-        departed.record_primary_place(1100, Place(1, 9))
-        below, enough = Place(1, 6), Place(1, 7)
+        departed.record_primary_place(1001, LogPosition(1, 7))
+        departed.record_primary_place(1100, LogPosition(1, 9))
+        below, enough = LogPosition(1, 6), LogPosition(1, 7)
         self.assertEqual(
             ['u3'], departed.may_exceed(1200, below, NO_PRIMARIES)
         )
@@ -40,7 +40,7 @@
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         departed.remove('u3')
-        low = Place(0, 0)
+        low = LogPosition(0, 0)
         self.assertEqual([], departed.may_exceed(1000, low, NO_PRIMARIES))
 
     def test_permanently_gone_member_expires(self):
@@ -48,7 +48,7 @@
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS
-        low = Place(0, 0)
+        low = LogPosition(0, 0)
         self.assertEqual([], departed.may_exceed(later_ms, low, NO_PRIMARIES))
 
     def test_bound_outlives_replication_stall(self):
@@ -61,8 +61,8 @@
         """
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3')
-        departed.record_primary_place(1001, Place(1, 7))
-        below = Place(1, 6)
+        departed.record_primary_place(1001, LogPosition(1, 7))
+        below = LogPosition(1, 6)
         later_ms = 1000 + departed_members.UNBOUNDED_WAIT_MS + 2000
         self.assertEqual(
             ['u3'], departed.may_exceed(later_ms, below, NO_PRIMARIES)
@@ -79,14 +79,14 @@
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u1', left=True)
         departed.add(1000, 'u3', left=True)
-        low, primaries = Place(0, 0), frozenset({'u1'})
+        low, primaries = LogPosition(0, 0), frozenset({'u1'})
         self.assertEqual([], departed.may_exceed(1100, low, primaries))
 
     def test_paused_member_is_bounded_by_its_report(self):
         """A paused member confirms nothing after its report."""
         departed = departed_members.DepartedMembers()
-        departed.add(1000, 'u3', left=True, paused_at=Place(1, 5))
-        enough = Place(1, 5)
+        departed.add(1000, 'u3', left=True, paused_at=LogPosition(1, 5))
+        enough = LogPosition(1, 5)
         self.assertEqual([], departed.may_exceed(1100, enough, NO_PRIMARIES))
 
 
@@ -96,11 +96,11 @@
     def test_first_position_bounds_earlier_departures(self):
         """For a limited time, members that lack it are not promoted."""
         departed = departed_members.DepartedMembers()
-        departed.record_first_place(1000, Place(1, 7))
-        low = Place(1, 6)
+        departed.record_first_place(1000, LogPosition(1, 7))
+        low = LogPosition(1, 6)
         self.assertTrue(departed.may_exceed(1100, low, NO_PRIMARIES))
         self.assertEqual(
-            [], departed.may_exceed(1100, Place(1, 7), NO_PRIMARIES)
+            [], departed.may_exceed(1100, LogPosition(1, 7), NO_PRIMARIES)
         )
 
     def test_first_position_bound_expires(self):
@@ -116,15 +116,15 @@
         driver.open_all()
         driver.tick(60)
         for connection in driver.busy('u1'):
-            hanging = support.ok(place=Place(1, 9))
+            hanging = support.ok(place=LogPosition(1, 9))
             driver.reply(connection, hanging, hanging)
         driver.answer_leadership_checks()
         self.assertEqual('u1', driver.state.proven_primary)
         floor = driver.state.acknowledged
-        self.assertLess(floor, Place(1, 9))
+        self.assertLess(floor, LogPosition(1, 9))
         later_ms = driver.now_ms + departed_members.UNBOUNDED_WAIT_MS
         waited_for = driver.state.departed_members.may_exceed(
-            later_ms, Place(1, 5), NO_PRIMARIES
+            later_ms, LogPosition(1, 5), NO_PRIMARIES
         )
         self.assertEqual([], waited_for)
 
@@ -170,7 +170,7 @@
         """
         driver = failover_support.make_lease_holder(leaving='u3')
         driver.list_upstreams(names=('u1', 'u2'), revision=2)
-        ahead = support.ok(place=Place(1, 9))
+        ahead = support.ok(place=LogPosition(1, 9))
         for _ in range(50):
             driver.tick(20)
             for connection in driver.busy('u1'):
@@ -182,7 +182,7 @@
         outs: list = []
         for _ in range(2):
             outs += failover_support.answer_control_commands(
-                driver, u1=Place(1, 9)
+                driver, u1=LogPosition(1, 9)
             )
         orders = [o for o in outs if isinstance(o, messages.OrderPromotion)]
         self.assertEqual([], [o for o in orders if o.upstream != 'u1'])
@@ -205,11 +205,11 @@
         """
         driver = failover_support.make_lease_holder()
         self.recreate_member(driver, 'u3')
-        driver.open_all(Place(0, 0))
+        driver.open_all(LogPosition(0, 0))
         outs = failover_support.lose_primary(driver)
         for _ in range(4):
             outs += failover_support.answer_control_commands(
-                driver, u3=Place(0, 0)
+                driver, u3=LogPosition(0, 0)
             )
             outs += driver.tick(60)
         self.assertEqual([], support.orders(outs))
@@ -218,7 +218,7 @@
         """With its old log position it would serve reads that it lacks."""
         driver = support.Driver().ready()
         self.recreate_member(driver, 'u3')
-        self.assertEqual(Place(0, 0), driver.state.upstreams['u3'].place)
+        self.assertEqual(LogPosition(0, 0), driver.state.upstreams['u3'].place)
 
     def test_connections_to_recreated_member_are_closed(self):
         """They belong to its predecessor."""
@@ -240,7 +240,7 @@
         """
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
-        driver.open_all(Place(0, 0))
+        driver.open_all(LogPosition(0, 0))
         outs = driver.tick(20)
         outs += failover_support.answer_control_commands(driver)
         outs += driver.tick(40)
@@ -261,9 +261,9 @@
         """
         departed = departed_members.DepartedMembers()
         departed.add(1000, 'u3', left=True)
-        departed.record_primary_place(1001, Place(3, 9))
+        departed.record_primary_place(1001, LogPosition(3, 9))
         departed.add(1100, 'u1', left=True, born_ms=7)
-        low, primaries = Place(2, 7), frozenset({'u1'})
+        low, primaries = LogPosition(2, 7), frozenset({'u1'})
         self.assertEqual([], departed.may_exceed(1200, low, primaries))
         driver = support.Driver().ready()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
@@ -299,7 +299,7 @@
                 born_ms=born,
             )
         waited_for = driver.state.departed_members.may_exceed(
-            driver.now_ms, Place(1, 5), frozenset({'u2'})
+            driver.now_ms, LogPosition(1, 5), frozenset({'u2'})
         )
         self.assertEqual(['u3'], waited_for)
 
@@ -307,7 +307,7 @@
         """Return a group whose primary was recreated as a replica."""
         driver = failover_support.make_lease_holder()
         driver.list_upstreams(primary='', revision=2, born_ms={'u1': 99})
-        driver.open_all(Place(0, 0))
+        driver.open_all(LogPosition(0, 0))
         driver.tick(20)
         return driver
 
@@ -321,11 +321,11 @@
         which covers all acknowledged writes, and u1 and u2 were empty.
         """
         driver = self.recreated_as_replica()
-        driver.state.acknowledged = Place(1, 6)
+        driver.state.acknowledged = LogPosition(1, 6)
         outs = []
         for _ in range(5):
             outs += failover_support.answer_control_commands(
-                driver, u1=Place(1, 6)
+                driver, u1=LogPosition(1, 6)
             )
             outs += driver.tick(20)
         (order,) = support.orders(outs)
@@ -358,7 +358,7 @@
         outs = []
         for _ in range(5):
             outs += failover_support.answer_control_commands(
-                driver, u1=Place(0, 0)
+                driver, u1=LogPosition(0, 0)
             )
             outs += driver.tick(20)
         self.assertEqual([], support.orders(outs))
--- a/topazring/core/synchronous/tests/test_failure_detection.py
+++ b/topazring/core/synchronous/tests/test_failure_detection.py
@@ -9,7 +9,7 @@
 from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 
 
 class FailureDetectionTest(testtools.TestCase):
@@ -63,20 +63,20 @@
 class UnconfirmedTest(testtools.TestCase):
     """A primary that answers, but whose replicas do not follow it."""
 
-    def replicas_behind(self, received: Place) -> support.Driver:
+    def replicas_behind(self, received: LogPosition) -> support.Driver:
         """Have a primary advance to 1.9 while replicas report 1.5."""
         driver = failover_support.make_lease_holder()
         for _ in range(50):
             driver.tick(20)
             for connection in driver.busy('u1'):
                 if connection.purpose is states.Purpose.LEADERSHIP_CHECK:
-                    ahead = support.ok(place=Place(1, 9))
+                    ahead = support.ok(place=LogPosition(1, 9))
                     driver.reply(connection, ahead, ahead)
             driver.answer_leadership_checks(primary='')
             if driver.state.promotion is not None:
                 break
         failover_support.answer_control_commands(
-            driver, u1=Place(1, 9), u2=received, u3=received
+            driver, u1=LogPosition(1, 9), u2=received, u3=received
         )
         driver.answer_leadership_checks(primary='')
         # Members whose connections were busy are queried by the next tick.
@@ -90,14 +90,14 @@
         A primary loses its replicas and keeps answering, but none of its
         writes is confirmed. A reply was taken for a sign of health.
         """
-        driver = self.replicas_behind(Place(1, 5))
+        driver = self.replicas_behind(LogPosition(1, 5))
         self.assertEqual(
             {'u1'}, failover_support.command_targets(driver, statements.Demote)
         )
 
     def test_replicas_that_apply_late(self):
         """They have received all entries, so the primary works."""
-        driver = self.replicas_behind(Place(1, 9))
+        driver = self.replicas_behind(LogPosition(1, 9))
         self.assertEqual(
             set(), failover_support.command_targets(driver, statements.Demote)
         )
@@ -110,9 +110,12 @@
         is cut off is demoted with unconfirmed writes, and the replica ordered
         to lead lacks these. It was compared with the primary that it replaces.
         """
-        driver = self.replicas_behind(Place(1, 5))
+        driver = self.replicas_behind(LogPosition(1, 5))
         outs = failover_support.answer_control_commands(
-            driver, u1=Place(1, 9), u2=Place(1, 5), u3=Place(1, 5)
+            driver,
+            u1=LogPosition(1, 9),
+            u2=LogPosition(1, 5),
+            u3=LogPosition(1, 5),
         )
         (order,) = support.orders(outs)
         self.assertNotEqual('u1', order.upstream)
--- a/topazring/core/synchronous/tests/test_hand_over.py
+++ b/topazring/core/synchronous/tests/test_hand_over.py
@@ -10,7 +10,7 @@
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
-Place = support.Place
+LogPosition = support.Place
 OrderResult = messages.OrderResult
 
 
@@ -75,7 +75,7 @@
             for out in outs
             if isinstance(out, messages.Open) and out.upstream == 'u4'
         ]
-        driver.post(messages.Opened(dials[0], Place(1, 5)))
+        driver.post(messages.Opened(dials[0], LogPosition(1, 5)))
         self.assertIn(
             'u4', failover_support.command_targets(driver, statements.Pause)
         )
@@ -99,7 +99,9 @@
                 if connection.upstream == 'u1':
                     driver.close(connection)
                 elif connection.phase is states.Phase.OPENING:
-                    opened = messages.Opened(connection.number, Place(1, 5))
+                    opened = messages.Opened(
+                        connection.number, LogPosition(1, 5)
+                    )
                     driver.post(opened)
             driver.tick(20)
             paused |= failover_support.command_targets(
@@ -114,12 +116,12 @@
         successor = driver.state.promotion.successor
         other = ({'u2', 'u3'} - {successor}).pop()
         outs = failover_support.answer_control_commands(
-            driver, **{successor: Place(1, 7), other: Place(1, 8)}
+            driver, **{successor: LogPosition(1, 7), other: LogPosition(1, 8)}
         )
         self.assertEqual([], support.orders(outs))
         driver.tick(40)
         outs = failover_support.answer_control_commands(
-            driver, **{successor: Place(1, 8), other: Place(1, 8)}
+            driver, **{successor: LogPosition(1, 8), other: LogPosition(1, 8)}
         )
         (order,) = support.orders(outs)
         self.assertEqual(successor, order.upstream)
@@ -135,7 +137,7 @@
         the loss of the chosen successor, and another was ordered 5.3 s later.
         """
         driver = failover_support.make_lease_holder()
-        driver.state.upstreams['u3'].place = Place(1, 9)
+        driver.state.upstreams['u3'].place = LogPosition(1, 9)
         test_isolation.run_for(driver, 400, 'u1', 'u2')
         driver.list_upstreams(leaving='u1', revision=2)
         driver.tick(20)
@@ -176,14 +178,14 @@
         """
         driver = self.make_leaving()
         driver.state.primary_start = position_records.PrimaryStart(
-            'u1', Place(1, 7)
+            'u1', LogPosition(1, 7)
         )
         outs = failover_support.answer_control_commands(driver)
         driver.answer_leadership_checks()
         driver.tick(40)
         outs += failover_support.answer_control_commands(driver)
         self.assertEqual([], support.orders(outs))
-        places = {'u2': Place(1, 7), 'u3': Place(1, 7)}
+        places = {'u2': LogPosition(1, 7), 'u3': LogPosition(1, 7)}
         for _ in range(10):
             outs += driver.tick(20)
             driver.answer_leadership_checks()
@@ -193,7 +195,7 @@
     def test_successor_holds_acknowledged_writes(self):
         """As above, but this proxy itself acknowledged the write."""
         driver = self.make_leaving()
-        driver.state.acknowledged = Place(1, 7)
+        driver.state.acknowledged = LogPosition(1, 7)
         outs = failover_support.answer_control_commands(driver)
         driver.tick(40)
         outs += failover_support.answer_control_commands(driver)
@@ -227,7 +229,9 @@
             for connection in driver.busy('u1')
             if isinstance(connection.commands[0], statements.Demote)
         ]
-        outs = driver.reply(demoting, support.report(received=Place(1, 5)))
+        outs = driver.reply(
+            demoting, support.report(received=LogPosition(1, 5))
+        )
         for connection in driver.busy(successor):
             if connection.purpose is states.Purpose.CONTROL:
                 outs += driver.reply(connection, support.report())
@@ -238,8 +242,8 @@
         """No other member is known to hold all acknowledged writes."""
         driver = self.block_hand_over()
         successor = driver.state.promotion.successor
-        ahead = support.report(received=Place(1, 9))
-        behind = support.report(received=Place(1, 5), held_term=0)
+        ahead = support.report(received=LogPosition(1, 9))
+        behind = support.report(received=LogPosition(1, 5), held_term=0)
         not_leading = support.refused(statements.Code.READ_ONLY)
         outs = []
         for _ in range(60):
@@ -272,10 +276,12 @@
             for connection in list(driver.state.connections.values()):
                 opening = connection.phase is states.Phase.OPENING
                 if opening and connection.upstream != 'u1':
-                    opened = messages.Opened(connection.number, Place(1, 9))
+                    opened = messages.Opened(
+                        connection.number, LogPosition(1, 9)
+                    )
                     driver.post(opened)
             replies = failover_support.answer_control_commands(
-                driver, u2=Place(1, 9)
+                driver, u2=LogPosition(1, 9)
             )
             for order in support.orders(replies):
                 driver.post(
--- a/topazring/core/synchronous/tests/test_promotion.py
+++ b/topazring/core/synchronous/tests/test_promotion.py
@@ -9,7 +9,7 @@
 from topazring.core.synchronous.tests import failover_support
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 Role = statements.Role
 OrderResult = messages.OrderResult
 
@@ -22,7 +22,7 @@
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         outs = failover_support.answer_control_commands(
-            driver, u2=Place(1, 7), u3=Place(1, 9)
+            driver, u2=LogPosition(1, 7), u3=LogPosition(1, 9)
         )
         (order,) = support.orders(outs)
         self.assertEqual('u3', order.upstream)
@@ -55,10 +55,12 @@
         driver = failover_support.make_lease_holder()
         key, _ = driver.submit(verb=support.Verb.WRITE)
         (writing,) = [c for c in driver.busy('u1') if c.work == key]
-        driver.reply(writing, support.ok('s', Place(1, 6)))
+        driver.reply(writing, support.ok('s', LogPosition(1, 6)))
         driver.list_upstreams(names=('u1', 'u2'))
         failover_support.lose_primary(driver)
-        outs = failover_support.answer_control_commands(driver, u2=Place(1, 2))
+        outs = failover_support.answer_control_commands(
+            driver, u2=LogPosition(1, 2)
+        )
         outs += driver.tick(300)
         self.assertEqual([], support.orders(outs))
 
@@ -100,7 +102,9 @@
         driver = failover_support.make_lease_holder()
         failover_support.lose_primary(driver)
         for connection in driver.busy('u2'):
-            driver.reply(connection, support.report(received=Place(1, 9)))
+            driver.reply(
+                connection, support.report(received=LogPosition(1, 9))
+            )
         driver.tick(240)
         outs = []
         for connection in driver.busy('u3'):
@@ -195,7 +199,7 @@
             for connection in list(driver.state.connections.values()):
                 if connection.upstream == 'u1':
                     driver.post(
-                        messages.Opened(connection.number, Place(1, 5))
+                        messages.Opened(connection.number, LogPosition(1, 5))
                     )
         outs += driver.tick(20)
         self.assertIsNone(driver.state.promotion)
@@ -227,7 +231,7 @@
                 outs += driver.tick(20)
                 driver.answer_leadership_checks(primary='')
                 outs += failover_support.answer_control_commands(
-                    driver, **{recreated: Place(0, 0)}
+                    driver, **{recreated: LogPosition(0, 0)}
                 )
             again = [o for o in support.orders(outs) if o.token != order.token]
             self.assertEqual([], [o for o in again if o.upstream == recreated])
@@ -236,7 +240,7 @@
     def promote_u2(self, driver: support.Driver) -> None:
         """Promote `u2`, whose log is longer than that of `u3`, after `u1`."""
         failover_support.lose_primary(driver)
-        places = {'u2': Place(1, 7), 'u3': Place(1, 6)}
+        places = {'u2': LogPosition(1, 7), 'u3': LogPosition(1, 6)}
         (order,) = support.orders(
             failover_support.answer_control_commands(driver, **places)
         )
@@ -246,11 +250,13 @@
         )
         driver.list_upstreams(primary='u2', revision=2)
 
-    def choose_after_u2(self, driver: support.Driver, **places: Place) -> str:
+    def choose_after_u2(
+        self, driver: support.Driver, **places: LogPosition
+    ) -> str:
         """Return the choice after `u2`, demoted because its writes hang."""
         attempt = attempts.Attempt('u2', 'no replica follows it', 0, 3, 300)
         attempt.unconfirmed = True
-        for name, place in {'u1': Place(0, 0), **places}.items():
+        for name, place in {'u1': LogPosition(0, 0), **places}.items():
             report = support.report(received=place, term=2).report
             attempts.record_report(attempt, driver.now_ms, name, report)
         return attempts.choose_primary(driver.state, driver.now_ms, attempt)
@@ -269,7 +275,9 @@
         driver = failover_support.make_lease_holder()
         self.promote_u2(driver)
         self.assertIsNone(driver.state.promotion)
-        chosen = self.choose_after_u2(driver, u2=Place(1, 7), u3=Place(1, 6))
+        chosen = self.choose_after_u2(
+            driver, u2=LogPosition(1, 7), u3=LogPosition(1, 6)
+        )
         self.assertEqual('u2', chosen)
 
     def test_log_tail_of_a_primary_with_unknown_start(self):
@@ -281,7 +289,9 @@
         driver = support.Driver()
         driver.list_upstreams(primary='u2')
         driver.open_all()
-        chosen = self.choose_after_u2(driver, u2=Place(1, 7), u3=Place(1, 6))
+        chosen = self.choose_after_u2(
+            driver, u2=LogPosition(1, 7), u3=LogPosition(1, 6)
+        )
         self.assertEqual('u2', chosen)
 
     def test_unconfirmed_tail_of_a_primary_that_was_followed(self):
@@ -289,5 +299,7 @@
         driver = support.Driver()
         driver.list_upstreams(primary='u2')
         driver.open_all()
-        chosen = self.choose_after_u2(driver, u2=Place(2, 9), u3=Place(2, 8))
+        chosen = self.choose_after_u2(
+            driver, u2=LogPosition(2, 9), u3=LogPosition(2, 8)
+        )
         self.assertEqual('u3', chosen)
--- a/topazring/core/synchronous/tests/test_proofs.py
+++ b/topazring/core/synchronous/tests/test_proofs.py
@@ -11,7 +11,7 @@
 from topazring.core.synchronous.tests import proof_support
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 Verb = support.Verb
 
 
@@ -263,26 +263,30 @@
             driver.answer_leadership_checks()
         driver.list_upstreams(primary='u2', revision=2)
         for _ in range(80):
-            self.answer_reachable_members(driver, Place(1, 5), witness_term)
+            self.answer_reachable_members(
+                driver, LogPosition(1, 5), witness_term
+            )
         self.assertEqual('u2', driver.state.primary)
         driver.submit(support.EXACT, Verb.WRITE)
         (write,) = [c for c in driver.busy('u2') if c.is_writing]
-        driver.reply(write, support.ok('signed', place=Place(2, 6)))
+        driver.reply(write, support.ok('signed', place=LogPosition(2, 6)))
         for _ in range(member_queries.WITNESS_SAMPLE_INTERVAL_MS // 20 + 5):
-            self.answer_reachable_members(driver, Place(2, 6), witness_term)
+            self.answer_reachable_members(
+                driver, LogPosition(2, 6), witness_term
+            )
         key, outs = driver.submit(support.EXACT)
         for _ in range(10):
             for connection in driver.busy('u2'):
                 if connection.work == key:
-                    read = support.ok('signed', place=Place(2, 6))
+                    read = support.ok('signed', place=LogPosition(2, 6))
                     outs += driver.reply(connection, read)
             outs += self.answer_reachable_members(
-                driver, Place(2, 6), witness_term
+                driver, LogPosition(2, 6), witness_term
             )
         return support.answers(outs).get(key)
 
     def answer_reachable_members(
-        self, driver: support.Driver, place: Place, witness_term: int
+        self, driver: support.Driver, place: LogPosition, witness_term: int
     ) -> list:
         """Answer queries to u2, the primary, and u3; u1 does not respond."""
         outs = driver.tick(20)
--- a/topazring/core/tests/test_placement.py
+++ b/topazring/core/tests/test_placement.py
@@ -30,7 +30,7 @@
         return hashing.choose_owners(name, self.databases[name], candidates, 2)
 
     def test_joins_and_departures(self):
-        """The cached candidates equal those of a full computation.
+        """Cached owners equal owners from a full computation.
 
         Guards against two proxies that disagree permanently on the owners of a
         database. After many joins and departures in differing batches, the
