--- a/topazring/core/synchronous/tests/test_claims.py
+++ b/topazring/core/synchronous/tests/test_claims.py
@@ -32,7 +32,7 @@
         return driver
 
     def test_first_claim_holds_until_terms_are_known(self):
-        """Changing the primary with each reply would move writes around.
+        """Changing the primary with each reply would send writes to and fro.
 
         Guards against four changes of the primary in 0.8 s. When a partition
         ends, the old primary has not learned yet that it was replaced, and
--- a/topazring/core/synchronous/tests/test_concurrency_limit.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -138,7 +138,10 @@
         self.assertEqual(4, round(upstream.concurrency_limit))
 
     def test_constantly_slow_statements_are_no_queue(self):
-        """Statements that always take long set the time without queueing."""
+        """Constantly slow statements do not indicate a queue.
+
+        Their duration counts as the upstream's time without queueing.
+        """
         state = self.slow_down(3000, 130.0)
         self.assertEqual(4, round(state.upstreams['u1'].concurrency_limit))
 
--- a/topazring/core/synchronous/tests/test_departures.py
+++ b/topazring/core/synchronous/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Test promotions after members departed that may hold unique writes."""
+"""Test promotions when departed members may have confirmed writes alone."""
 
 import testtools
 
--- a/topazring/core/synchronous/tests/test_new_members.py
+++ b/topazring/core/synchronous/tests/test_new_members.py
@@ -177,7 +177,10 @@
         self.assertNotIsInstance(outcome, outcomes.Done)
 
     def test_member_whose_pause_ended_with_its_restart(self):
-        """Guards against counting a report the successor need not match."""
+        """Guards against counting a member that is not paused any more.
+
+        The successor is not required to hold what such a member reports.
+        """
         driver = self.confirmed(held_term=0)
         for _ in range(5):
             driver.tick(20)
--- a/topazring/core/synchronous/tests/test_proofs.py
+++ b/topazring/core/synchronous/tests/test_proofs.py
@@ -130,7 +130,7 @@
     def test_confirmed_write_proves_leadership_for_earlier_reads(self):
         """The write was sent after the read; an established member has it.
 
-        With the other members silent the leadership is unproven otherwise.
+        Otherwise, with the other members silent, the leadership is unproven.
         """
         driver, key = self.running(names=('u1', 'u2', 'u3', 'u4'))
         outs = proof_support.answer_read(driver, key)
