--- a/topazring/core/synchronous/tests/test_concurrency_limit.py
+++ b/topazring/core/synchronous/tests/test_concurrency_limit.py
@@ -10,7 +10,7 @@
 from topazring.core.synchronous import statements
 from topazring.core.synchronous.tests import support
 
-Place = support.Place
+LogPosition = support.Place
 Reason = outcomes.Reason
 Verb = support.Verb
 
@@ -20,8 +20,8 @@
     driver = support.Driver(share).ready()
     for name in ('u2', 'u3'):
         upstream = driver.state.upstreams[name]
-        upstream.place = Place(1, 1)
-        upstream.missing_place = Place(1, 2)
+        upstream.place = LogPosition(1, 1)
+        upstream.missing_place = LogPosition(1, 2)
         upstream.lagging_ms = driver.now_ms
         upstream.lagging_pause_ms = 10_000
     return driver
@@ -138,7 +138,10 @@
         self.assertEqual(4, round(upstream.concurrency_limit))
 
     def test_constantly_slow_statements_are_no_queue(self):
-        """Statements that always take long set the time without queueing."""
+        """Constantly slow statements do not indicate a queue.
+
+        Their duration counts as the upstream's time without queueing.
+        """
         state = self.slow_down(3000, 130.0)
         self.assertEqual(4, round(state.upstreams['u1'].concurrency_limit))
 
--- a/topazring/core/synchronous/tests/test_contested.py
+++ b/topazring/core/synchronous/tests/test_contested.py
@@ -9,13 +9,13 @@
 from topazring.core.synchronous.tests import support
 from topazring.core.synchronous.tests import test_isolation
 
-Place = support.Place
+LogPosition = support.Place
 WRITE = support.Verb.WRITE
 
 
 def write(driver: support.Driver, *names: str) -> outcomes.Outcome | None:
     """Have `u1` confirm a write while the named replicas report holding it."""
-    held = Place(1, 6)
+    held = LogPosition(1, 6)
     key, _ = driver.submit(verb=WRITE)
     work = driver.state.work.get(key)
     if work is not None and work.running:
@@ -52,7 +52,9 @@
         replica cannot reach. The promoting proxy resumes that replica, which
         follows the old primary and confirms a write there, before the proxy
         that sent the write has queried the successor. The successor named in
-        the list must be taken into account before it replies.
+        the list must be taken into account before it replies. In the walk u4
+        leads at 2371 ms, p1 has it from the list at 2376 ms and sends a write
+        to u1 at 2452 ms, and acknowledges it at 2470 ms, when u3 holds it.
         """
         driver = self.list_successor()
         self.assertNotIsInstance(write(driver, 'u3'), outcomes.Done)
@@ -64,7 +66,9 @@
         successor stops within 300 ms of its promotion and is recreated empty.
         The old primary continues, and a proxy that did not see the promotion
         sends it a write. The claim to lead must not be discarded together
-        with the upstream that made it.
+        with the upstream that made it. In the walk u3 leads at 3949 ms, p2
+        has it from the list at 3985 ms, u3 is recreated at 4455 ms, and p2
+        sends a write to u1 at 4838 ms and acknowledges it at 5062 ms.
         """
         driver = self.recreate_successor()
         driver.open_all()
@@ -104,14 +108,16 @@
         Guards against the same failure as above (random walk 5698): the
         successor is gone before this proxy learns of it, and a member that
         followed it reports a log position of the newer term. Checking only
-        the upstream that is listed as primary is not enough.
+        the upstream that is listed as primary is not enough. In the walk u3
+        reports 2.1 at 4051 ms, and a write of term 1 at u1 is acknowledged at
+        4052 ms.
         """
         driver = support.Driver().ready(names=('u1', 'u2', 'u3', 'u4'))
         key, _ = driver.submit(verb=WRITE)
         connection = driver.running(key)
-        held = Place(1, 6)
+        held = LogPosition(1, 6)
         driver.reply(connection, support.ok('signed', place=held))
-        newer = {'received': Place(2, 1), 'term': 2}
+        newer = {'received': LogPosition(2, 1), 'term': 2}
         test_isolation.run_for(driver, 40, 'u3', **newer)
         test_isolation.run_for(driver, 100, 'u2', 'u4', received=held)
         outcome = support.answers(driver.outs).get(key)
@@ -143,10 +149,10 @@
         driver.tick(20)
         driver.answer_leadership_checks(primary='u2')
         key, _ = driver.submit(verb=WRITE)
-        report = {'received': Place(2, 6), 'term': 2, 'held_term': 0}
+        report = {'received': LogPosition(2, 6), 'term': 2, 'held_term': 0}
         proof_support.answer_status_queries(driver, 'u3', **report)
         connection = driver.running(key)
-        place = Place(2, 6)
+        place = LogPosition(2, 6)
         driver.reply(connection, support.ok('signed', place=place))
         for _ in range(5):
             driver.tick(20)
