--- a/topazring/core/dispatch.py
+++ b/topazring/core/dispatch.py
@@ -18,8 +18,8 @@
 
 # A read waits this long for a busy replica before it goes to the primary.
 MAX_REPLICA_QUEUE_MS = 50
-# If a confirmation takes longer than this time and this multiple of the usual
-# replica lag, nothing more is sent to the primary.
+# If a confirmation takes longer than both this time and this multiple of the
+# usual replica lag, nothing more is sent to the primary.
 STALL_MS = 100
 STALL_LAGS = 3
 
--- a/topazring/core/failover.py
+++ b/topazring/core/failover.py
@@ -15,7 +15,8 @@
 
 Out = list
 
-# Delay of an owner for each owner above it in the preference order.
+# Delay before an owner promotes, for each owner above it in the preference
+# order.
 STAGGER_MS = 500
 SUSPICION_INTERVAL_MS = 200
 # How long another owner's report of its suspicion is used.
@@ -230,7 +231,11 @@
 
 
 def _hand_over(state: states.OwnerState, now_ms: int) -> Out:
-    """Promote a successor of a leaving primary once its writes have ended."""
+    """Promote a successor of a leaving primary without interrupting writes.
+
+    The wait for writes, transactions and replicas ends after
+    MAX_HAND_OVER_WAIT_MS.
+    """
     is_leaving = state.view.primary in state.leaving_upstreams
     if not is_leaving or _rank(state) != 0:
         state.handing_over_since_ms = None
--- a/topazring/core/forwarding.py
+++ b/topazring/core/forwarding.py
@@ -36,7 +36,7 @@
     kind: Kind
     repeatable: bool
     deadline_ms: int
-    # The owner that holds the connection of the transaction, if any.
+    # The only owner that holds the connection of the transaction, if any.
     bound_to: str = ''
     tried: list[str] = dataclasses.field(default_factory=list)
     is_resolving: bool = False
--- a/topazring/core/observations.py
+++ b/topazring/core/observations.py
@@ -84,7 +84,7 @@
 def _add_sample(
     state: states.OwnerState, message: messages.StatusReceived
 ) -> None:
-    """Add a sample of the primary's position for the next round."""
+    """Add a sample of the primary's position for a round to confirm."""
     status = message.status
     current = status.accepted_term == state.view.term and status.leads
     if not current or status.place.log_term != state.view.term:
@@ -150,7 +150,7 @@
 def handle_grants(
     state: states.OwnerState, now_ms: int, message: messages.GrantsReceived
 ) -> Out:
-    """Record the terms granted to this owner."""
+    """Record the terms that are granted to this owner only."""
     usable = {term for term in message.terms if term > state.view.term}
     if state.attempt is not None:
         usable.discard(state.attempt.term)
--- a/topazring/core/owner.py
+++ b/topazring/core/owner.py
@@ -19,7 +19,7 @@
 
 MAJORITY = 'majority'
 
-# Period of heartbeats while the primary is suspected.
+# Period of heartbeats while the primary is suspected or a probe of it failed.
 SUSPECTED_HEARTBEAT_MS = 50
 
 Handler = collections.abc.Callable[[states.OwnerState, int, object], list]
--- a/topazring/core/placement.py
+++ b/topazring/core/placement.py
@@ -21,7 +21,8 @@
 ]
 
 # Candidates cached per database, and the number below which all are scored
-# again. So many candidates cover two data centres unless there are hardly two.
+# again. Among so many candidates two data centres are missing only if the
+# fleet has hardly any proxy outside one.
 MAX_CANDIDATES = 16
 MIN_CANDIDATES = 8
 
--- a/topazring/core/rounds.py
+++ b/topazring/core/rounds.py
@@ -1,4 +1,4 @@
-"""Confirm log positions by rounds in which a majority reports its status.
+"""Confirm log positions by rounds: a majority holds them under one term.
 
 A round requests the status of every replica. One round serves all requests
 that wait when it begins, so the cost grows with time and not with the number
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Waiter:
-    """Request that waits until a majority holds `place`, or just its term.
+    """Request or sample to confirm: a majority holds `place`, or its term.
 
     `first_round` is the first round that began after the position was
     reported: earlier rounds say nothing about the time since.
@@ -95,7 +95,11 @@
 def start_round(
     rounds: Rounds, now_ms: int, replicas: list[str]
 ) -> list[messages.RequestStatus]:
-    """Start a round with each replica that could confirm waiters."""
+    """Start a round with the replicas below the limit that can confirm.
+
+    A replica is left out if no waiter needs it or if MAX_ROUNDS_IN_FLIGHT
+    requests to it are unanswered.
+    """
     if not rounds.waiters:
         return []
     round_id = rounds.next_round
--- a/topazring/core/suspicion.py
+++ b/topazring/core/suspicion.py
@@ -27,8 +27,9 @@
 REPLICA_SILENCE_MS = 350
 # How long a term may be without a primary.
 NO_PRIMARY_MS = 400
-# The same for a primary that still answers this owner. It is longer because
-# no failure seen by this owner supports it.
+# Time without contact that all replicas have to report if the primary still
+# answers this owner. It is longer than REPLICA_SILENCE_MS because this owner
+# has seen no failure of its own that supports the reports.
 ISOLATED_PRIMARY_SILENCE_MS = 650
 # A replica that had contact to its primary within this time shows it is alive.
 RECENT_CONTACT_MS = 150
--- a/topazring/core/tokens.py
+++ b/topazring/core/tokens.py
@@ -42,7 +42,7 @@
 ) -> Session:
     """Return a token's session; raise TokenError if it is not valid here.
 
-    A caller that could forge a log position could block its reads
+    A caller that could choose any log position could block reads
     indefinitely, or infer from the waiting times how far another
     organisation's log has advanced.
     """
--- a/topazring/core/view.py
+++ b/topazring/core/view.py
@@ -48,7 +48,8 @@
     samples: collections.deque[log_positions.Sample] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
-    # When the term or the primary last changed.
+    # When the term or the primary last changed. Initially, when the first
+    # status was received.
     changed_ms: int | None = None
 
 
@@ -134,8 +135,8 @@
 ) -> log_positions.LogPosition | None:
     """Return the position that a replica needs for this staleness bound.
 
-    None means that no sample is recent enough. The staleness of the replicas
-    is then unknown, and none of them may serve the read.
+    None means that no sample is recent enough. The staleness of every replica
+    is then unknown and must not be taken for zero.
     """
     oldest_ms = now_ms - max_staleness_ms
     found = None
--- a/topazring/pooler/process.py
+++ b/topazring/pooler/process.py
@@ -38,7 +38,8 @@
 # A caller waits two seconds for its session; another proxy may be able to
 # start it in less than that.
 CONFIGURED_S = 0.4
-# The store answers in milliseconds. If it does not, the lease expires.
+# The store answers in milliseconds. What it does not end in this time ends
+# when its lease expires.
 CLOSE_S = 0.25
 # Longer messages are refused; the upstreams have the same limit.
 MESSAGE_BYTES = 1 << 20
--- a/topazring/pooler/promotion_lease.py
+++ b/topazring/pooler/promotion_lease.py
@@ -2,7 +2,7 @@
 
 A value in the store, written under a store lease, names the holder. Acquiring
 it reserves a block of tokens. Each order with a new meaning takes the next
-token, so the platform can discard an order that arrives late, and no call to
+token, so that a newer order supersedes one that arrives late, and no call to
 the store is needed when a primary is lost. The last block is recorded in a
 value without a lease: the tokens of a later holder are always higher.
 """
