--- a/topazring/pooler/directory.py
+++ b/topazring/pooler/directory.py
@@ -202,8 +202,8 @@
     def _watch_ms(self) -> int:
         """Return how long the store is to wait for a change.
 
-        While it is unavailable, only a short call detects that it is back: a
-        watch without an answer would be waited for.
+        While it is unavailable, the call does not wait: a watch without an
+        answer would delay the detection that the store is back.
         """
         if self.unavailable_since_ms is not None:
             return 0
--- a/topazring/pooler/tests/test_group_task.py
+++ b/topazring/pooler/tests/test_group_task.py
@@ -138,7 +138,7 @@
         await asyncio.sleep(0)
 
     def test_restart_answers_requests_and_serves_again(self):
-        """Sent writes end unknown; reads and queued requests did not run.
+        """Sent writes end as Unknown, reads and queued requests as NotRun.
 
         Guards against a KeyError in one group that ends a process with ten
         groups and all sessions of its callers. A tick finds a request that
--- a/topazring/pooler/tests/test_promotion_lease.py
+++ b/topazring/pooler/tests/test_promotion_lease.py
@@ -331,8 +331,8 @@
     def test_lease_value_in_another_format(self):
         """Guards against a task that ends with an error, so nobody promotes.
 
-        A value under the lease key may be written by another program. It
-        names no holder, and this process continues.
+        A value under the lease key is not always one that a proxy wrote. Such
+        a value names no holder, and this process continues.
         """
 
         async def steps():
