--- a/topazring/platform/__init__.py
+++ b/topazring/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapt the pooling proxy to the users' platform: codecs and clients only."""
+"""Translate between the proxy and the users' platform; decide nothing."""
--- a/topazring/platform/tests/test_fake_store.py
+++ b/topazring/platform/tests/test_fake_store.py
@@ -5,9 +5,10 @@
 follower continued from the new revision and neither it nor the proxies that
 poll it ever received that entry. As a result six proxies did not select two
 owners within 10 s, in one of two full runs beside two large load tests and in
-one of eight beside 90 busy processes. The logs of the follower and of both
-proxies polling it ended with the preceding entry, while those polling the
-second follower received the entry 0.1 s after it was listed.
+one of eight beside 90 busy processes. A proxy that receives a revision without
+a change logs nothing, and the logs of the follower and of both proxies polling
+it ended with the preceding entry, while those polling the second follower
+received the entry 0.1 s after it was listed.
 """
 
 import asyncio
--- a/topazring/platform/tests/test_store.py
+++ b/topazring/platform/tests/test_store.py
@@ -10,7 +10,7 @@
 
 from topazring import key_value
 from topazring.platform import store
-from topazring.pooler import promotion_lease as duties
+from topazring.pooler import promotion_lease
 
 
 class RenewalTest(testtools.TestCase):
@@ -24,8 +24,10 @@
         renewal comes after the lease has expired, and the promotion lease
         moves to another proxy.
         """
-        needed_s = 2 * duties.RENEW_INTERVAL_S + store.RENEWAL_TIMEOUT_S
-        self.assertLess(needed_s, duties.TTL_MS / 1000)
+        needed_s = (
+            2 * promotion_lease.RENEW_INTERVAL_S + store.RENEWAL_TIMEOUT_S
+        )
+        self.assertLess(needed_s, promotion_lease.TTL_MS / 1000)
 
 
 class ClosedConnectionTest(testtools.TestCase):
--- a/topazring/proxy/cluster_state.py
+++ b/topazring/proxy/cluster_state.py
@@ -255,7 +255,10 @@
         self.on_change(set())
 
     def send_leaving(self) -> None:
-        """Send a few peers, which forward it, that this process leaves."""
+        """Announce to all peers that this process is shutting down.
+
+        The message goes to a few peers, which forward it to others.
+        """
         message = gossips.Leaving(self.config.name, self.incarnation)
         for address in self._sample_peers(LEAVING_FANOUT):
             self.gossip.send(address, message)
@@ -263,7 +266,7 @@
     def send_suspicion(
         self, database: str, owners: tuple[str, ...], term: int, suspects: bool
     ) -> None:
-        """Send the other owners whether this one suspects the primary."""
+        """Report to the other owners whether this one suspects the primary."""
         message = gossips.Suspicion(self.config.name, database, term, suspects)
         for name in owners:
             member = self.members.listed.get(name)
--- a/topazring/proxy/owner_task.py
+++ b/topazring/proxy/owner_task.py
@@ -56,7 +56,7 @@
     def send_suspicion(
         self, database: str, owners: tuple[str, ...], term: int, suspects: bool
     ) -> None:
-        """Send the other owners whether this one suspects the primary."""
+        """Report to the other owners whether this one suspects the primary."""
         raise NotImplementedError
 
 
--- a/topazring/tests/test_request_outcomes.py
+++ b/topazring/tests/test_request_outcomes.py
@@ -328,9 +328,10 @@
         send little. The others stall if all share one queue. When processor
         time is short, that queue is the stream to the owner, which reads more
         slowly than the batch arrives. Another organisation's write then waits
-        unread behind thousands, the owner appears to have timed out ("p3 went
-        silent"), and all its requests are first resolved at the next owner
-        ("986 left deadline (0 wait, 1691 in hand)").
+        unread behind thousands, and the owner appears to have timed out ("p3
+        did not answer a ping; closing the stream"). All its requests must then
+        be resolved at the next owner first ("986 left deadline (0 wait, 1691
+        in hand)").
         """
 
         async def steps(fleet):
