--- a/topazring/platform/tests/fake_upstreams.py
+++ b/topazring/platform/tests/fake_upstreams.py
@@ -27,7 +27,7 @@
     paused_for_term: int = 0
     # Whether it closes the connection after a write, without answering.
     loses_answers: bool = False
-    # Duration of each read, including the wait for a slot.
+    # Duration of each read, or of its wait for a slot.
     reads_take_s: float = 0.0
 
 
--- a/topazring/platform/tests/synchronous_upstreams.py
+++ b/topazring/platform/tests/synchronous_upstreams.py
@@ -1,7 +1,8 @@
 """Simulate a group with synchronous replicas, logs and terms, on sockets.
 
 A commit is answered once a replica has received it. Members receive nothing
-while they are paused, deaf, down, or partitioned from the primary.
+while they are paused, deaf (see `deaf_until_ms`), down, or partitioned from
+the primary.
 """
 
 import asyncio
@@ -39,6 +40,7 @@
     # Number of log entries that are applied.
     applied: int = 0
     lag_ms: float = 10.0
+    # It receives nothing from its primary before this time.
     deaf_until_ms: float = 0.0
     # Whether its process or machine is down; its log is retained.
     is_down: bool = False
