--- a/topazring/proxy/owner_task.py
+++ b/topazring/proxy/owner_task.py
@@ -266,7 +266,7 @@
         terms = grants.terms_of(updated, self.incarnation)
         if terms != grants.terms_of(record, self.incarnation):
             # If the response is lost, the write may have taken effect. The
-            # next request of the core reads the record again and sees it.
+            # next request of the core reads the record again and detects it.
             put_response = await self.platform.put(
                 self._record_key(), updated.dump(), revision
             )
