--- a/topazring/core/synchronous/confirmations.py
+++ b/topazring/core/synchronous/confirmations.py
@@ -58,7 +58,8 @@
 HAND_OVER_MS = 3000
 # How long writes of an ended term are not acknowledged. By then the holder of
 # the promotion lease has also seen that the successor left the list, and has
-# promoted another; if it has not, it has newer information or never will.
+# promoted another. If it has not, it either has newer information on the
+# successor or will not promote another at all.
 ENDED_TERM_MS = 5000
 # If a confirmed write has waited for this long to be acknowledged, the next
 # write would wait as well. Members reply within a few ms, and receive entries
--- a/topazring/core/synchronous/position_records.py
+++ b/topazring/core/synchronous/position_records.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrimaryStart:
-    """Bound the log that a primary started with by a position.
+    """Hold an upper bound on the log that a primary started with.
 
     All entries that it started with are at or before `place`.
     """
--- a/topazring/core/synchronous/primary.py
+++ b/topazring/core/synchronous/primary.py
@@ -61,8 +61,9 @@
 ) -> list:
     """Record that an upstream accepted a transaction sent at `sent_ms`.
 
-    It becomes the primary unless another upstream's claim outranks it; while
-    the terms of both claims are not known, the first claim stands.
+    It becomes the primary unless a newer term has been seen, or the current
+    primary may still lead and is not outranked by it. While the term of either
+    claim is unknown, the current primary stays.
     """
     upstream.refuted_ms = None
     upstream.begin_accepted_sent_ms = max(
--- a/topazring/core/synchronous/proofs.py
+++ b/topazring/core/synchronous/proofs.py
@@ -12,13 +12,14 @@
 - Every other member refuses BEGIN. This takes no slot.
 - All other members but one report that they are replicas of no newer term.
   Each acknowledged write is stored by two members, so the silent one has
-  acknowledged nothing even if it leads. The status query takes a slot, so it
-  is sent only while a member is silent and a request waits for the proof.
+  acknowledged nothing even if it leads. This query for the term takes a slot,
+  so it is sent only while a member is silent and a request waits for the
+  proof.
 - If one member accepted a BEGIN and has refused none since, all other members
   but that one report that they are replicas of exactly the term that the
-  primary leads and has written in. A crashed or partitioned primary remains
-  in this state, and reads at its successor would otherwise be refused for
-  some 5 s, until its entry leaves the list.
+  primary leads and has written in. A primary that stopped responding
+  remains in this state, and reads at its successor would otherwise be refused
+  for some 5 s, until its entry leaves the list.
 - An established replica has confirmed a write to the primary. A promotion
   pauses all members before it orders a successor, so no successor had been
   ordered.
--- a/topazring/core/synchronous/state.py
+++ b/topazring/core/synchronous/state.py
@@ -8,7 +8,7 @@
 from topazring.core import log_positions
 from topazring.core import outcomes
 from topazring.core import retries
-from topazring.core.synchronous import departed_members as departing
+from topazring.core.synchronous import departed_members as departed
 from topazring.core.synchronous import messages
 from topazring.core.synchronous import position_records
 from topazring.core.synchronous import statements
@@ -35,7 +35,7 @@
 
 # Earlier than any timestamp the process can produce.
 NEVER_MS = -(10**9)
-# Initial estimate of the service time; a statement takes 10 to 20 ms.
+# Typical service time; a statement takes some 10 to 20 ms.
 TYPICAL_SERVICE_MS = 15.0
 # Effectively unlimited: connection shares are far smaller.
 MAX_CONCURRENCY = 1000.0
@@ -48,7 +48,9 @@
 class Limits:
     """Hold the limits that operators set for this process."""
 
-    # Most requests queued for one group; further requests are refused.
+    # Most requests that may wait in one queue of a group. Beyond it the
+    # request with the latest deadline in the longest queue of an organisation
+    # is refused, which need not be the new one.
     queue: int = 400
     # How long a leaving upstream still receives new work.
     drain_ms: int = 7000
@@ -141,9 +143,9 @@
     witness_sent_ms: int = NEVER_MS
     same_term_sent_ms: int = NEVER_MS
     confirmed_sent_ms: int = NEVER_MS
-    # When it was first listed here. A new member counts as a witness of
-    # leadership only once leadership has been proved without it after that:
-    # the proxy that runs a promotion may not have had it on its list.
+    # When it was first listed here. A new member counts as established only
+    # once leadership has been proved without it after that: the proxy that
+    # runs a promotion may not have had it on its list.
     first_listed_ms: int = 0
     is_established: bool = False
     # A different instance was listed under this name before.
@@ -307,8 +309,8 @@
     # whose log ends before it must not be promoted.
     acknowledged: log_positions.LogPosition = log_positions.ORIGIN
     # Departed members that may be the only ones to hold some writes.
-    departed_members: departing.DepartedMembers = dataclasses.field(
-        default_factory=departing.DepartedMembers
+    departed_members: departed.DepartedMembers = dataclasses.field(
+        default_factory=departed.DepartedMembers
     )
     # The last upstream whose leadership was proved, and when that was first
     # the case.
