--- a/topazring/tests/test_configuration.py
+++ b/topazring/tests/test_configuration.py
@@ -215,7 +215,7 @@
             self.assertEqual('done', saved.outcome)
             await fleet.spawn('platform')
             await support.fleets.wait_until(
-                fleet._platform_answers, 'the platform answers'
+                fleet._is_platform_up, 'the platform answers'
             )
             revision = await self.set_profile(fleet, 'later')
             await wait_until_in_force(fleet, revision, ['p1', 'p2', 'p3'])
