--- a/topazring/standin/database.py
+++ b/topazring/standin/database.py
@@ -116,9 +116,7 @@
             cursor = connection.execute(sql, parameters)
             rows = [list(row) for row in cursor.fetchmany(MAX_ROWS + 1)]
             if len(rows) > MAX_ROWS:
-                raise StatementError(
-                    f'the result has more than {MAX_ROWS} rows'
-                )
+                raise StatementError(f'the answer has over {MAX_ROWS} rows')
     except (sqlite3.Error, sqlite3.Warning, ValueError) as error:
         raise StatementError(str(error)) from None
     finally:
--- a/topazring/standin/upstream.py
+++ b/topazring/standin/upstream.py
@@ -259,9 +259,7 @@
         if transaction is None or transaction.term != ask.term:
             raise Refusal(Reason.TRANSACTION_LOST)
         if len(transaction.statements) >= MAX_TRANSACTION_STATEMENTS:
-            raise database.StatementError(
-                'the transaction has too many statements'
-            )
+            raise database.StatementError('the transaction is too long')
         rows = database.run_and_roll_back(
             self.databases,
             transaction.organisation,
